--- a/src/main/java/loadbalancer/policy/admission/ConcurrencyLimiter.java
+++ b/src/main/java/loadbalancer/policy/admission/ConcurrencyLimiter.java
@@ -14,42 +14,56 @@
 import loadbalancer.policy.statistics.TimelyResponseRate;
 
 /**
- * Concurrency limits: each endpoint's limit grows when it was reached while a request was in flight that was answered
- * well within the latency objective, and is cut when responses are slow or requests are rejected there. An attempt needs
- * capacity below the limit of its endpoint and below the sum of all limits; the sum guards against a stall of all
- * endpoints. A limit below one is a share of the time for which one request may be in flight.
+ * Adaptive concurrency limits. An endpoint's limit grows after a quick response if the limit was reached while the
+ * attempt was in flight. It is cut after slow responses, after rejections, and after timeouts if the endpoint is
+ * overloaded. An attempt is started only if the requests in flight are below the limit of its endpoint and below the
+ * sum of all limits; the sum guards against a stall of all endpoints. A limit below one is the share of the time in
+ * which one request may be in flight; it is enforced by a pause after each request.
  */
 public final class ConcurrencyLimiter {
-    /** Requests in flight that all instances together start with for each endpoint. */
+    /** Initial limit of an endpoint, summed over all instances that share it. */
     private static final double INITIAL_LIMIT = 4;
 
-    /** The same where endpoints cache keys: above what an endpoint serves in time, so that the first cut finds the limit. */
+    /**
+     * Initial limit where endpoints cache keys. It is above the number of requests that an endpoint serves in time, so
+     * that the first cut sets the limit to what the endpoint can serve.
+     */
     private static final double INITIAL_LIMIT_WITH_KEY_CACHES = 24;
 
-    /** Growth of a limit, over all instances, for a response in good time. */
+    /** Amount by which a quick response raises the limit of an endpoint that only one instance uses. */
     private static final double GROWTH_STEP = 0.15;
 
-    /** Part by which a slow response cuts a limit. */
+    /** Share by which a slow response cuts the limit of an endpoint that only one instance uses. */
     private static final double SLOW_CUT = 0.1;
 
-    /** Part by which a rejected or unanswered attempt cuts a limit. */
+    /** Share by which a rejected attempt or one without a response cuts a limit. */
     private static final double OVERLOAD_CUT = 0.3;
 
-    /** Power of the number of sharing instances with which the step and the cut grow. */
+    /**
+     * Exponent of the number of instances that share an endpoint. This power of their number is the factor by which
+     * the growth step is divided and the cut after a slow response is repeated.
+     */
     private static final double SHARING_EXPONENT = 0.25;
 
-    /** Part of the growth that remains while half of the responses miss their objective, for recovery. */
+    /**
+     * Minimum factor of the growth step, which applies if about half of the responses or more miss their latency
+     * objective. Limits must still grow a little so that they can recover.
+     */
     private static final double MIN_GROWTH_FACTOR = 0.1;
 
-    /** Longest pause between two requests to an endpoint whose limit is below one. */
+    /** Maximum pause between two requests to an endpoint whose limit is below one. */
     private static final long MAX_PAUSE_US = 2_000_000;
 
-    /** Requests that one of many sharing instances may send before a pause has ended, since arrivals are bursty. */
-    private static final double BURST = 2;
+    /**
+     * Maximum number of requests that an instance may send before a pause has ended if many instances share the
+     * endpoint. Requests arrive in bursts.
+     */
+    private static final double MAX_BURST = 2;
 
-    /** Part of the limits that requests over their tenant's quota may use. */
+    /** Share of each limit that requests over their tenant's quota may use. */
     private static final double OVER_QUOTA_LIMIT_SHARE = 0.5;
 
+    /** Upper bound of the ratio of a latency to the slowness threshold. */
     private static final double MAX_SLOWNESS = 2;
 
     private final LoadBalancerSettings settings;
@@ -64,7 +78,7 @@
     private int inFlight;
     private double sumOfLimits;
 
-    /** A limiter for an instance that uses no endpoints yet. */
+    /** Creates a limiter for an instance that uses no endpoints yet. */
     public ConcurrencyLimiter(
             LoadBalancerSettings settings,
             EndpointSharing sharing,
@@ -81,14 +95,21 @@
         onSharingChanged();
     }
 
-    /** Adapts the step and the cut by the same factor, so that their balance over all instances stays. */
+    /**
+     * Adapts the growth step and the cut after slow responses to the number of instances that share an endpoint. The
+     * step is divided by the same factor by which the cut is repeated, so that growth and cuts over all instances stay
+     * in balance.
+     */
     public void onSharingChanged() {
-        double pace = Math.pow(sharing.instances(), SHARING_EXPONENT);
-        growthStep = GROWTH_STEP / pace;
-        slowCut = 1 - Math.pow(1 - SLOW_CUT, pace);
+        double sharingFactor = Math.pow(sharing.instances(), SHARING_EXPONENT);
+        growthStep = GROWTH_STEP / sharingFactor;
+        slowCut = 1 - Math.pow(1 - SLOW_CUT, sharingFactor);
     }
 
-    /** Gives active endpoints without a limit one that is no higher than the others' on average. */
+    /**
+     * Sets the limits of active endpoints that have none: to the initial limit, or to the mean limit of the listed
+     * endpoints if that is lower.
+     */
     public void initializeLimits(List<Endpoint> listed, Endpoint[] active) {
         double average = listed.stream()
                 .mapToDouble(endpoint -> endpoint.concurrency().limit())
@@ -107,7 +128,10 @@
         return (settings.endpointsCacheKeys ? INITIAL_LIMIT_WITH_KEY_CACHES : INITIAL_LIMIT) / sharing.instances();
     }
 
-    /** Sums up the available endpoints: requests at an ejected or removed one must not hold back the others. */
+    /**
+     * Recomputes the sum of the limits and the requests in flight over the available endpoints. Requests at ejected or
+     * removed endpoints do not count, since they must not use up the capacity of the others.
+     */
     public void sumUp(Endpoint[] active) {
         activeEndpoints = active.length;
         sumOfLimits = 0;
@@ -120,7 +144,7 @@
         }
     }
 
-    /** Counts an attempt as in flight. */
+    /** Adds an attempt to the requests in flight at its endpoint. */
     public void onAttemptStarted(Endpoint endpoint) {
         endpoint.concurrency().increment();
         if (endpoint.isAvailable()) {
@@ -128,7 +152,7 @@
         }
     }
 
-    /** Counts an attempt as no longer in flight, once. */
+    /** Removes an attempt from the requests in flight at its endpoint; has no effect if that was done before. */
     public void release(Attempt attempt) {
         if (!attempt.isReleased()) {
             attempt.setReleased();
@@ -139,17 +163,20 @@
         }
     }
 
-    /** Whether an endpoint has capacity for a request. If not, it is noted that its limit was reached. */
+    /**
+     * Returns whether an endpoint has capacity for a request. If it has none and the request is within its tenant's
+     * quota, the endpoint's limit is marked as reached.
+     */
     public boolean hasCapacity(PendingRequest request, Endpoint endpoint, long nowUs) {
         EndpointConcurrency concurrency = endpoint.concurrency();
         double limitShare = request.isOverQuota() ? OVER_QUOTA_LIMIT_SHARE : 1;
-        double ease = sharing.isSparse() ? ease(request) : 0;
-        double burst = sharing.isSparse() ? BURST * priorities.relativePriority(request) : 0;
-        boolean atLimit = concurrency.inFlight() + 1 > limitShare * concurrency.limit()
-                && (concurrency.inFlight() > ease * burst
-                        || nowUs < concurrency.pausedUntilUs() - ease * burst * concurrency.pauseUs());
-        boolean atSum = inFlight > ease * (1 + burst) && inFlight + 1 > limitShare * sumOfLimits;
-        if (!atLimit && !atSum) {
+        double burstAllowance = sharing.isSparse() ? burstAllowance(request) : 0;
+        double maxBurst = sharing.isSparse() ? MAX_BURST * priorities.relativePriority(request) : 0;
+        boolean isAtLimit = concurrency.inFlight() + 1 > limitShare * concurrency.limit()
+                && (concurrency.inFlight() > burstAllowance * maxBurst
+                        || nowUs < concurrency.pausedUntilUs() - burstAllowance * maxBurst * concurrency.pauseUs());
+        boolean isAtSumOfLimits = inFlight > burstAllowance * (1 + maxBurst) && inFlight + 1 > limitShare * sumOfLimits;
+        if (!isAtLimit && !isAtSumOfLimits) {
             return true;
         }
         if (!request.isOverQuota()) {
@@ -158,24 +185,30 @@
         return false;
     }
 
-    /** How far bursts may exceed limits, from 0 to 1: less as responses come late, since that keeps overload up. */
-    private double ease(PendingRequest request) {
-        double timely = timelyResponses.share();
-        return Math.max(0, request.isOverQuota() ? 4 * timely - 3 : 2 * timely - 1);
+    /**
+     * Returns how far bursts may exceed the limits, from 0 to 1. The value falls with the share of timely responses,
+     * because bursts sustain an overload.
+     */
+    private double burstAllowance(PendingRequest request) {
+        double timelyShare = timelyResponses.share();
+        return Math.max(0, request.isOverQuota() ? 4 * timelyShare - 3 : 2 * timelyShare - 1);
     }
 
-    /** Learns from the end of an attempt; the statistics have taken it into account before. */
+    /**
+     * Adapts the limit of an endpoint after an attempt has ended. The caller records the outcome in the statistics of
+     * latencies and timely responses before.
+     */
     public void onOutcome(PendingRequest request, Attempt attempt, ObservedOutcome outcome, long nowUs) {
         EndpointConcurrency concurrency = attempt.endpoint().concurrency();
         double limitBefore = concurrency.limit();
-        double slowUs = slownessThreshold.slowAboveUs(request);
+        double slowAboveUs = slownessThreshold.slowAboveUs(request);
         boolean timedOut = outcome.result() == AttemptResult.TIMEOUT;
-        boolean noneAnsweredSince = concurrency.newestAnsweredAttemptAtUs() <= attempt.startedAtUs();
-        if (outcome.result() == AttemptResult.OK || (timedOut && noneAnsweredSince)) {
-            double slowness = Math.min(MAX_SLOWNESS, outcome.latencyUs() / Math.max(1, slowUs));
+        boolean noLaterAttemptAnswered = concurrency.newestAnsweredAttemptAtUs() <= attempt.startedAtUs();
+        if (outcome.result() == AttemptResult.OK || (timedOut && noLaterAttemptAnswered)) {
+            double slowness = Math.min(MAX_SLOWNESS, outcome.latencyUs() / Math.max(1, slowAboveUs));
             concurrency.recordSlowness(slowness, TimelyResponseRate.GAIN);
         }
-        adaptLimit(request, attempt, outcome, slowUs, nowUs);
+        adaptLimit(request, attempt, outcome, slowAboveUs, nowUs);
         if (concurrency.limit() < 1) {
             long pauseUs = Math.min(MAX_PAUSE_US, (long) (outcome.latencyUs() / concurrency.limit()));
             concurrency.pause(attempt.startedAtUs(), pauseUs);
@@ -186,16 +219,16 @@
     }
 
     private void adaptLimit(
-            PendingRequest request, Attempt attempt, ObservedOutcome outcome, double slowUs, long nowUs) {
+            PendingRequest request, Attempt attempt, ObservedOutcome outcome, double slowAboveUs, long nowUs) {
         if (outcome.result() == AttemptResult.OK || outcome.abandonedAsSlow()) {
             double priority = sharing.isSparse() ? priorities.relativePriority(request) : 1;
-            if (outcome.latencyUs() > slowUs) {
+            if (outcome.latencyUs() > slowAboveUs) {
                 cutLimit(attempt, slowCut * priority, nowUs);
             } else if (!outcome.abandonedAsSlow()) {
                 growLimit(attempt, priority, nowUs);
             }
         } else if (outcome.result() == AttemptResult.REJECTED) {
-            // Where endpoints cache keys, less than it had in flight would send its keys elsewhere.
+            // Where endpoints cache keys, a limit below the requests in flight would move keys to other endpoints.
             cutLimit(attempt, settings.endpointsCacheKeys ? 0 : OVERLOAD_CUT, nowUs);
         } else if (outcome.result() == AttemptResult.TIMEOUT
                 && attempt.endpoint().concurrency().slowness() >= 1) {
@@ -204,8 +237,9 @@
     }
 
     /**
-     * Grows a limit that was reached since the attempt began. A warming endpoint gets few requests and is quick with
-     * them: its limit must not exceed the others', or all instances together would overload it as slow start ends.
+     * Raises a limit that was reached since the attempt began. The limit of a warming endpoint is not raised above
+     * the mean of all limits: the endpoint responds quickly because slow start sends it few requests, and with a higher
+     * limit all instances together would overload it when slow start ends.
      */
     private void growLimit(Attempt attempt, double priority, long nowUs) {
         EndpointConcurrency concurrency = attempt.endpoint().concurrency();
@@ -213,22 +247,22 @@
                 && (!slowStart.isWarmingUp(attempt.endpoint(), nowUs)
                         || concurrency.limit() * activeEndpoints < sumOfLimits);
         if (mayGrow) {
-            // While responses come late everywhere, one in time says little: growth would keep the overload up.
+            // While many responses are late, a single timely one says little, and full growth would sustain overload.
             double growthFactor =
                     settings.endpointsCacheKeys ? 1 : Math.max(MIN_GROWTH_FACTOR, 2 * timelyResponses.share() - 1);
             concurrency.setLimit(concurrency.limit() + growthStep * priority * growthFactor);
         }
     }
 
-    /** Cuts a limit, once for all attempts that began before the last cut. */
+    /** Cuts a limit unless the attempt began before the last cut: attempts in flight together cut it only once. */
     private void cutLimit(Attempt attempt, double cut, long nowUs) {
         EndpointConcurrency concurrency = attempt.endpoint().concurrency();
         if (attempt.startedAtUs() >= concurrency.limitCutAtUs()) {
-            // A limit that was never reached says nothing of the endpoint's capacity.
-            double reached = settings.endpointsCacheKeys
+            // The part of a limit above the requests in flight says nothing about the endpoint's capacity.
+            double reachedLimit = settings.endpointsCacheKeys
                     ? Math.min(concurrency.limit(), concurrency.inFlight() + 1)
                     : concurrency.limit();
-            concurrency.cutLimit(Math.max(1.0 / sharing.instances(), reached * (1 - cut)), nowUs);
+            concurrency.cutLimit(Math.max(1.0 / sharing.instances(), reachedLimit * (1 - cut)), nowUs);
         }
     }
 }
--- a/src/main/java/loadbalancer/policy/admission/ObservedOutcome.java
+++ b/src/main/java/loadbalancer/policy/admission/ObservedOutcome.java
@@ -3,11 +3,11 @@
 import loadbalancer.policy.AttemptResult;
 
 /**
- * The end of an attempt as the concurrency limits see it.
+ * The outcome of an attempt as the concurrency limiter uses it.
  *
- * @param result how it ended
- * @param latencyUs its duration
- * @param abandonedAsSlow whether its client left after more than the usual latency. Such clients hide how long the
- *     response would have taken, so that only quick ones stay in sight: what it has waited counts like a response
+ * @param result the result of the attempt
+ * @param latencyUs the duration of the attempt
+ * @param abandonedAsSlow whether the client disconnected after the attempt had taken longer than most of its class. The
+ *     duration is then treated like the latency of a response: otherwise only the quick responses would be observed
  */
 public record ObservedOutcome(AttemptResult result, long latencyUs, boolean abandonedAsSlow) {}
--- a/src/main/java/loadbalancer/policy/admission/RequestPriorities.java
+++ b/src/main/java/loadbalancer/policy/admission/RequestPriorities.java
@@ -5,45 +5,46 @@
 import loadbalancer.policy.statistics.LatencyStatistics;
 
 /**
- * The priority of requests: what each earns for the work that it takes, which is the priority weight of its class, less
- * if its tenant is over its quota, over the usual latency of the class as the measure of work.
+ * Assigns priorities to requests. The priority is the priority weight of the request's class, reduced if its tenant is
+ * over its quota. Unless the settings give weights per unit of work, it is divided by the mean latency of the class as
+ * the measure of the work per request.
  */
 public final class RequestPriorities {
     private final LoadBalancerSettings settings;
     private final LatencyStatistics latencies;
     private final TenantQuotas quotas;
 
-    /** Priorities by these settings; {@code latencies} are the measure of work. */
+    /** Creates priorities by these settings; the mean {@code latencies} measure the work per request. */
     public RequestPriorities(LoadBalancerSettings settings, LatencyStatistics latencies) {
         this.settings = settings;
         this.latencies = latencies;
         quotas = new TenantQuotas(settings.tenants, settings.instances);
     }
 
-    /** Sets the priority of a request that has just arrived, and takes it into account for its tenant's quota. */
+    /** Sets the priority of a request that has just arrived, and counts the request against its tenant's quota. */
     public void assign(PendingRequest request, long nowUs) {
         double weight = request.requestClass().priorityWeight();
-        if (!quotas.take(request.tenant(), nowUs)) {
+        if (!quotas.tryConsume(request.tenant(), nowUs)) {
             weight *= settings.overQuotaPriorityWeight;
             if (!settings.endpointsCacheKeys) {
                 request.setOverQuota();
             }
         }
-        request.setPriority(perWork(weight, request.classIndex()));
+        request.setPriority(priorityOf(weight, request.classIndex()));
     }
 
-    /** The priority of a request against that of the class with the highest, 1 at most. */
+    /** Returns the priority of a request relative to the highest priority of all classes, from 0 to 1. */
     public double relativePriority(PendingRequest request) {
-        double highest = request.priority();
+        double highestPriority = request.priority();
         for (int c = 0; c < settings.classes.size(); c++) {
-            // A class without results has no measure of work; it must not outrank all others.
+            // The work of a class without results is unknown; such a class must not outrank all others.
             double weight = latencies.hasResults(c) ? settings.classes.get(c).priorityWeight() : 0;
-            highest = Math.max(highest, perWork(weight, c));
+            highestPriority = Math.max(highestPriority, priorityOf(weight, c));
         }
-        return highest > 0 ? request.priority() / highest : 0;
+        return highestPriority > 0 ? request.priority() / highestPriority : 0;
     }
 
-    private double perWork(double weight, int classIndex) {
+    private double priorityOf(double weight, int classIndex) {
         return settings.weightByWork ? weight : weight / Math.max(1, latencies.meanUs(classIndex));
     }
 }
--- a/src/main/java/loadbalancer/policy/admission/RequestQueue.java
+++ b/src/main/java/loadbalancer/policy/admission/RequestQueue.java
@@ -11,20 +11,26 @@
 import loadbalancer.policy.statistics.LatencyStatistics;
 
 /**
- * The requests that wait for an endpoint with capacity, the highest priority first and in order of arrival among equals.
- * A request that misses its latency objective falls back, or is rejected if it then earns nothing.
+ * The queue of requests that wait for an endpoint with capacity, ordered by descending priority and, for equal
+ * priorities, by the time at which they were added. A request that cannot meet its latency objective any more gets a
+ * lower priority; if late responses of its class have no weight, it is rejected or failed.
  */
 public final class RequestQueue {
-    /** Usual latencies of its class below which the time to its objective is too short for a request. */
-    private static final double LATE_BELOW_MEAN_LATENCIES = 2;
+    /**
+     * A request is late if the time left to its latency objective is below this multiple of its class's mean latency.
+     */
+    private static final double LATE_BELOW_MEAN_MULTIPLE = 2;
 
-    /** The same as a share of the whole objective, at most: some requests may wait. */
+    /** Upper bound of that time as a share of the objective, so that requests may wait however high the mean is. */
     private static final double MAX_LATE_OBJECTIVE_SHARE = 0.8;
 
     /** The longest time for which the process may be suspended between reading its clock and writing. */
-    private static final long SUSPENSION_US = 150_000;
+    private static final long MAX_SUSPENSION_US = 150_000;
 
-    /** Part of a request's time that may be given up for a response in time. */
+    /**
+     * Maximum share of the time from a request's arrival to its deadline that is reserved for sending the final
+     * response in time.
+     */
     private static final double MAX_EXPIRY_MARGIN_SHARE = 0.125;
 
     private static final Comparator<PendingRequest> HIGHEST_PRIORITY_FIRST =
@@ -36,37 +42,37 @@
     private final Dispatcher dispatcher;
     private final ArrayList<PendingRequest> queue = new ArrayList<>();
 
-    /** Who finds endpoints for queued requests and ends those that expire. */
+    /** Selects endpoints for queued requests, starts their attempts, and responds to expired requests. */
     public interface Dispatcher {
-        /** Whether another attempt could be permitted, wherever it goes. */
+        /** Returns whether another attempt of a request is permitted at some endpoint. */
         boolean mayRetry(PendingRequest request, long nowUs);
 
-        /** An endpoint for the next attempt of a request, or null. */
+        /** Selects an endpoint for the next attempt of a request without attempts in flight; null if there is none. */
         Endpoint selectFirstEndpoint(PendingRequest request, long nowUs);
 
-        /** Starts an attempt. */
+        /** Starts an attempt of a request that has left the queue. */
         void startAttempt(PendingRequest request, Endpoint endpoint, long nowUs);
 
-        /** Gives a request its final response, without a success. */
+        /** Gives a request its final response: a rejection if the client may safely retry, otherwise a failure. */
         void rejectOrFail(PendingRequest request);
     }
 
-    /** What a pass over the queue has learned of the endpoints' capacity. */
-    private static final class Pass {
+    /** What one pass over the queue has found out about the capacity of endpoints. */
+    private static final class DispatchPass {
         private int keyedPicksLeft;
         private boolean noCapacity;
         private boolean noCapacityForNonIdempotent;
         private boolean noCapacityOverQuota;
 
-        Pass(int keyedPicks) {
-            keyedPicksLeft = keyedPicks;
+        DispatchPass(int maxFailedKeyedPicks) {
+            keyedPicksLeft = maxFailedKeyedPicks;
         }
     }
 
     /**
-     * An empty queue.
+     * Creates an empty queue.
      *
-     * @param sweepIntervalUs the time between two looks at what has expired
+     * @param sweepIntervalUs the maximum time between two calls of {@link #dispatch} while requests are queued
      */
     public RequestQueue(
             LoadBalancerSettings settings, LatencyStatistics latencies, long sweepIntervalUs, Dispatcher dispatcher) {
@@ -76,12 +82,12 @@
         this.dispatcher = dispatcher;
     }
 
-    /** Whether there is nothing to look at. */
+    /** Returns whether the queue has no entries; entries of finished requests count until the next dispatch. */
     public boolean isEmpty() {
         return queue.isEmpty();
     }
 
-    /** Adds a request behind those of the same priority. */
+    /** Adds a request behind all others of the same or a higher priority. */
     public void enqueue(PendingRequest request) {
         request.enqueue();
         int index = queue.size();
@@ -92,38 +98,40 @@
     }
 
     /**
-     * Starts attempts as far as endpoints have capacity, and ends what has expired.
+     * Starts attempts of queued requests while endpoints have capacity, and gives expired requests their final
+     * response.
      *
-     * @param keyedPicks requests with a key for which endpoints are looked for in vain, at most
+     * @param maxFailedKeyedPicks the maximum number of requests with key affinity for which endpoint selection may fail
+     *     before it stops
      */
-    public void dispatch(int keyedPicks, long nowUs) {
+    public void dispatch(int maxFailedKeyedPicks, long nowUs) {
         if (queue.isEmpty()) {
             return;
         }
-        Pass pass = new Pass(keyedPicks);
-        int kept = 0;
-        boolean unsorted = false;
+        DispatchPass pass = new DispatchPass(maxFailedKeyedPicks);
+        int keptCount = 0;
+        boolean needsSort = false;
         for (int i = 0; i < queue.size(); i++) {
             PendingRequest request = queue.get(i);
             if (!request.isQueued()) {
                 continue;
             }
-            boolean late = isLate(request, nowUs);
-            if (isExpired(request, late, nowUs)) {
+            boolean isLate = isLate(request, nowUs);
+            if (isExpired(request, isLate, nowUs)) {
                 request.dequeue();
                 dispatcher.rejectOrFail(request);
-            } else if (late && !request.isLate()) {
+            } else if (isLate && !request.isLate()) {
                 request.setLate();
-                unsorted = true;
-                queue.set(kept, request);
-                kept++;
+                needsSort = true;
+                queue.set(keptCount, request);
+                keptCount++;
             } else if (!startIfPossible(request, pass, nowUs)) {
-                queue.set(kept, request);
-                kept++;
+                queue.set(keptCount, request);
+                keptCount++;
             }
         }
-        truncate(queue, kept);
-        if (unsorted) {
+        truncate(queue, keptCount);
+        if (needsSort) {
             queue.sort(HIGHEST_PRIORITY_FIRST);
         }
     }
@@ -133,57 +141,63 @@
     }
 
     private boolean isLate(PendingRequest request, long nowUs) {
-        double tooShortUs = Math.min(
+        double lateBelowUs = Math.min(
                 MAX_LATE_OBJECTIVE_SHARE * request.latencyObjectiveUs(),
-                LATE_BELOW_MEAN_LATENCIES * latencies.meanUs(request.classIndex()));
-        return request.latencyObjectiveAtUs() - nowUs < tooShortUs;
+                LATE_BELOW_MEAN_MULTIPLE * latencies.meanUs(request.classIndex()));
+        return request.latencyObjectiveAtUs() - nowUs < lateBelowUs;
     }
 
-    private boolean isExpired(PendingRequest request, boolean late, long nowUs) {
+    private boolean isExpired(PendingRequest request, boolean isLate, long nowUs) {
         return request.deadlineAtUs() - nowUs <= expiryMarginUs(request)
-                || (late && request.requestClass().latePriorityWeight() == 0)
+                || (isLate && request.requestClass().latePriorityWeight() == 0)
                 || !dispatcher.mayRetry(request, nowUs);
     }
 
     /**
-     * How long before its deadline a queued request expires: an attempt with less than half of the usual latency left
-     * is hardly ever answered, and the process may be suspended before it answers.
+     * Returns how long before its deadline a queued request expires. An attempt with less than half of the mean latency
+     * left hardly ever gets a response, and the process may be suspended before it sends the final response.
      */
     private long expiryMarginUs(PendingRequest request) {
         int classIndex = request.classIndex();
-        long usualUs = latencies.isMeanReliable(classIndex) ? (long) latencies.meanUs(classIndex) : 0;
-        long mostUs = (long) (MAX_EXPIRY_MARGIN_SHARE * (request.deadlineAtUs() - request.arrivedAtUs()));
+        long meanUs = latencies.isMeanReliable(classIndex) ? (long) latencies.meanUs(classIndex) : 0;
+        long maxMarginUs = (long) (MAX_EXPIRY_MARGIN_SHARE * (request.deadlineAtUs() - request.arrivedAtUs()));
         return Math.max(
-                sweepIntervalUs + settings.eventIntervalUs, Math.min(mostUs, Math.max(SUSPENSION_US, usualUs / 2)));
+                sweepIntervalUs + settings.eventIntervalUs,
+                Math.min(maxMarginUs, Math.max(MAX_SUSPENSION_US, meanUs / 2)));
     }
 
-    private boolean startIfPossible(PendingRequest request, Pass pass, long nowUs) {
-        boolean nonIdempotent = request.requestClass().idempotency() == Idempotency.NON_IDEMPOTENT;
-        boolean hopeless = pass.noCapacity
-                || (nonIdempotent && pass.noCapacityForNonIdempotent)
+    private boolean startIfPossible(PendingRequest request, DispatchPass pass, long nowUs) {
+        boolean isNonIdempotent = request.requestClass().idempotency() == Idempotency.NON_IDEMPOTENT;
+        boolean isKnownWithoutCapacity = pass.noCapacity
+                || (isNonIdempotent && pass.noCapacityForNonIdempotent)
                 || (request.isOverQuota() && pass.noCapacityOverQuota);
-        Endpoint endpoint = hopeless ? null : dispatcher.selectFirstEndpoint(request, nowUs);
+        Endpoint endpoint = isKnownWithoutCapacity ? null : dispatcher.selectFirstEndpoint(request, nowUs);
         if (endpoint != null) {
             request.dequeue();
             dispatcher.startAttempt(request, endpoint, nowUs);
             return true;
         }
-        noteNoCapacity(request, nonIdempotent, pass);
+        recordNoCapacity(request, isNonIdempotent, pass);
         return false;
     }
 
     /**
-     * A request without attempts may go anywhere, but for non-idempotent ones and ejected endpoints: if it finds no
-     * endpoint, nor does the next one. With a key it may go to few, so that some are looked for in vain.
+     * Records that no endpoint was selected for a request.
+     *
+     * <p>A request without earlier attempts may be sent to any endpoint. If none has capacity for such a request, none
+     * has capacity for the following ones. There are three exceptions: a request over its tenant's quota may use only
+     * part of the limits, a non-idempotent request is rarely used for probation of ejected endpoints, and a request
+     * with key affinity may be sent to few endpoints, so that several such requests must fail before the search stops.
      */
-    private static void noteNoCapacity(PendingRequest request, boolean nonIdempotent, Pass pass) {
+    private static void recordNoCapacity(PendingRequest request, boolean isNonIdempotent, DispatchPass pass) {
         pass.noCapacityOverQuota |= request.isOverQuota();
-        boolean forOthersToo = !request.isOverQuota() && request.attemptCount() == 0 && isLastPick(request, pass);
-        pass.noCapacityForNonIdempotent |= forOthersToo;
-        pass.noCapacity |= forOthersToo && (!nonIdempotent || request.hasKeyAffinity());
+        boolean appliesToOthers = !request.isOverQuota() && request.attemptCount() == 0 && endsSearch(request, pass);
+        pass.noCapacityForNonIdempotent |= appliesToOthers;
+        pass.noCapacity |= appliesToOthers && (!isNonIdempotent || request.hasKeyAffinity());
     }
 
-    private static boolean isLastPick(PendingRequest request, Pass pass) {
+    /** Returns whether the search stops after this request, and counts a failed pick by key. */
+    private static boolean endsSearch(PendingRequest request, DispatchPass pass) {
         if (!request.hasKeyAffinity()) {
             return true;
         }
--- a/src/main/java/loadbalancer/policy/admission/SlownessThreshold.java
+++ b/src/main/java/loadbalancer/policy/admission/SlownessThreshold.java
@@ -5,20 +5,25 @@
 import loadbalancer.policy.model.PendingRequest;
 import loadbalancer.policy.statistics.LatencyStatistics;
 
-/** From which latency on a response says that its endpoint is overloaded. */
+/** The latency above which a response indicates that its endpoint is overloaded. */
 final class SlownessThreshold {
-    /** As a share of the latency objective: an endpoint that uses up all of it may already have become slower. */
+    /**
+     * The threshold as a share of the latency objective. It is well below 1, since an endpoint that needs the whole
+     * objective may already have become slower.
+     */
     private static final double OBJECTIVE_SHARE = 0.35;
 
     /**
-     * The same where the load of many instances evens out badly, or single keys are in high demand: an endpoint with
-     * much capacity then answers some requests slowly too.
+     * The share that is used where many instances share an endpoint, so that their load is distributed less evenly, or
+     * where endpoints cache keys, of which some may be in high demand. Even an endpoint with spare capacity then sends
+     * some slow responses.
      */
     private static final double TOLERANT_OBJECTIVE_SHARE = 0.6;
 
-    /** As a multiple of the least mean latency of the class, however long the objective is. */
-    private static final double LEAST_MEAN_MULTIPLE = 3;
+    /** Upper bound of the threshold as a multiple of the lowest mean latency of the class. */
+    private static final double LOWEST_MEAN_MULTIPLE = 3;
 
+    /** Factor of that multiple where many instances share an endpoint. */
     private static final double SPARSE_MULTIPLE_FACTOR = 2;
 
     private final LoadBalancerSettings settings;
@@ -31,15 +36,16 @@
         this.latencies = latencies;
     }
 
-    /** The latency, in microseconds, above which a response to a request is slow. */
+    /** Returns the latency, in microseconds, above which a response to {@code request} is slow. */
     double slowAboveUs(PendingRequest request) {
         double leastMeanUs = latencies.leastMeanUs(request.classIndex());
-        boolean tolerant = settings.endpointsCacheKeys || (sharing.isSparse() && leastMeanUs < Double.MAX_VALUE);
-        double byObjectiveUs = (tolerant ? TOLERANT_OBJECTIVE_SHARE : OBJECTIVE_SHARE) * request.latencyObjectiveUs();
+        boolean isTolerant = settings.endpointsCacheKeys || (sharing.isSparse() && leastMeanUs < Double.MAX_VALUE);
+        double objectiveThresholdUs =
+                (isTolerant ? TOLERANT_OBJECTIVE_SHARE : OBJECTIVE_SHARE) * request.latencyObjectiveUs();
         if (settings.endpointsCacheKeys) {
-            return byObjectiveUs;
+            return objectiveThresholdUs;
         }
-        double factor = sharing.isSparse() ? SPARSE_MULTIPLE_FACTOR : 1;
-        return Math.min(byObjectiveUs, factor * LEAST_MEAN_MULTIPLE * leastMeanUs);
+        double multipleFactor = sharing.isSparse() ? SPARSE_MULTIPLE_FACTOR : 1;
+        return Math.min(objectiveThresholdUs, multipleFactor * LOWEST_MEAN_MULTIPLE * leastMeanUs);
     }
 }
--- a/src/main/java/loadbalancer/policy/admission/TenantQuotas.java
+++ b/src/main/java/loadbalancer/policy/admission/TenantQuotas.java
@@ -4,35 +4,40 @@
 
 import loadbalancer.policy.Tenant;
 
-/** This instance's even part of the tenants' quotas: a token bucket for each tenant. */
+/** This instance's even share of the tenants' quotas, enforced by one token bucket per tenant. */
 final class TenantQuotas {
-    /** Time in which a full bucket fills up, in seconds. */
+    /** Size of a bucket as the time, in seconds, in which the quota fills it. */
     private static final double BURST_SECONDS = 1;
 
-    /** Least size of a bucket: a part of a few requests a second comes in bursts too. */
-    private static final double MIN_BURST = 8;
+    /**
+     * Minimum size of a bucket in requests: even with a quota of a few requests per second, requests come in bursts.
+     */
+    private static final double MIN_BUCKET_SIZE = 8;
 
     private static final double US_PER_SECOND = 1e6;
 
     private final double[] ratePerSecond;
     private final double[] tokens;
-    private final long[] filledAtUs;
+    private final long[] refilledAtUs;
 
-    /** Quotas of these tenants for one of so many instances; the buckets are full. */
+    /** Creates the quotas of one of {@code instances} instances; each bucket starts with the quota of one second. */
     TenantQuotas(List<Tenant> tenants, int instances) {
         ratePerSecond = tenants.stream()
                 .mapToDouble(tenant -> tenant.quotaPerSecond() / instances)
                 .toArray();
         tokens = new double[ratePerSecond.length];
-        filledAtUs = new long[ratePerSecond.length];
+        refilledAtUs = new long[ratePerSecond.length];
     }
 
-    /** Takes a request of a tenant, or of none (-1), out of its quota; false if it is over the quota. */
-    boolean take(int tenant, long nowUs) {
+    /**
+     * Consumes one request of a tenant's quota if it has one left, and returns whether it had. Requests without a
+     * tenant (-1) and tenants without a quota are not limited.
+     */
+    boolean tryConsume(int tenant, long nowUs) {
         if (tenant < 0 || ratePerSecond[tenant] <= 0) {
             return true;
         }
-        fill(tenant, nowUs);
+        refill(tenant, nowUs);
         if (tokens[tenant] < 1) {
             return false;
         }
@@ -40,10 +45,11 @@
         return true;
     }
 
-    private void fill(int tenant, long nowUs) {
-        double capacity = Math.max(MIN_BURST, ratePerSecond[tenant] * BURST_SECONDS);
-        double seconds = filledAtUs[tenant] == 0 ? BURST_SECONDS : (nowUs - filledAtUs[tenant]) / US_PER_SECOND;
-        filledAtUs[tenant] = nowUs;
-        tokens[tenant] = Math.min(capacity, tokens[tenant] + ratePerSecond[tenant] * seconds);
+    private void refill(int tenant, long nowUs) {
+        double bucketSize = Math.max(MIN_BUCKET_SIZE, ratePerSecond[tenant] * BURST_SECONDS);
+        double elapsedSeconds =
+                refilledAtUs[tenant] == 0 ? BURST_SECONDS : (nowUs - refilledAtUs[tenant]) / US_PER_SECOND;
+        refilledAtUs[tenant] = nowUs;
+        tokens[tenant] = Math.min(bucketSize, tokens[tenant] + ratePerSecond[tenant] * elapsedSeconds);
     }
 }
--- a/src/main/java/loadbalancer/policy/admission/package-info.java
+++ b/src/main/java/loadbalancer/policy/admission/package-info.java
@@ -1,2 +1,2 @@
-/** How many requests are admitted: concurrency limits, tenant quotas, priorities, load shedding, the request queue. */
+/** Admission control: concurrency limits, tenant quotas, request priorities, load shedding, and the request queue. */
 package loadbalancer.policy.admission;
--- a/src/main/java/loadbalancer/policy/health/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/health/OutlierDetector.java
@@ -16,35 +16,52 @@
 import loadbalancer.policy.model.PendingRequest;
 
 /**
- * Outlier detection: counts the errors of endpoints, and ejects those that fail.
+ * Outlier detection: counts the errors of endpoints and ejects endpoints that fail too often.
  *
- * <p>A failure adds one to its endpoint's error count, which lowers its weight, and a success clears it. An endpoint
- * that fails too many of its recent results, of all or of one class, is ejected: it gets nothing of these but single
- * probation attempts, further apart each time one fails. At most half of the endpoints are ejected; where more fail, the
- * cause is not theirs, and the weights alone decide. Classes are judged one by one, since a class that an endpoint
- * serves would hide one that it fails.
+ * <p>A failure adds one to the error count of its endpoint, which lowers the endpoint's weight, and a success clears
+ * the count. An endpoint with too many failures among its recent results is ejected, either for all request classes or
+ * for one. An ejected endpoint gets only single probation attempts for these requests, and each failure increases the
+ * time to the next probation attempt. At most half of the active endpoints are ejected: if more fail, the endpoints are
+ * not the cause, and only the weights are used. Each class also has its own results, since the successes of one class
+ * would hide the failures of another.
  */
 public final class OutlierDetector {
-    /** Failures among the recent results from which on an endpoint is ejected, beside what all fail in common. */
-    private static final int EJECTION_FAILURES = 4;
+    /**
+     * Failures among the last {@link EndpointHealth#HISTORY_LENGTH} results that eject an endpoint, in addition to
+     * those that are tolerated because of the common failure rate.
+     */
+    private static final int MIN_FAILURES_TO_EJECT = 4;
 
-    /** Times what all endpoints fail in common that an endpoint may fail: resets anywhere are no endpoint's fault. */
+    /**
+     * Multiple of the common failure rate that is tolerated of each endpoint: connection resets that affect all
+     * endpoints are not the fault of one.
+     */
     private static final double COMMON_FAILURE_FACTOR = 2;
 
+    /** Weight of a new result in the common failure rate. */
     private static final double COMMON_FAILURE_GAIN = 1.0 / 256;
 
-    /** Probation successes in a row that restore an endpoint. */
+    /** Consecutive successful probation attempts after which an endpoint is restored. */
     private static final int SUCCESSES_TO_RESTORE = 3;
 
+    /** Mean time from the first ejection to the first probation attempt. */
     private static final long FIRST_EJECTION_US = 250_000;
+    /** Upper bound of the mean time, which doubles with each failure during an ejection. */
     private static final long MAX_EJECTION_US = 4_000_000;
 
-    /** Times the ejection that probation by non-idempotent requests comes later: one that fails is lost. */
+    /**
+     * Multiple of the ejection time by which probation is delayed further for non-idempotent requests. Such a request
+     * is lost if its attempt fails.
+     */
     private static final int NON_IDEMPOTENT_PROBATION_FACTOR = 4;
 
-    /** Errors that slow responses add up to at most: a slower endpoint still has its concurrency limit. */
-    private static final int MAX_ERRORS_BY_SLOWNESS = 8;
+    /**
+     * Maximum error count that slow responses can cause. It need not be higher, since the concurrency limit also bounds
+     * the load of a slow endpoint.
+     */
+    private static final int MAX_ERRORS_FROM_SLOWNESS = 8;
 
+    /** Class index that stands for the results of all classes together. */
     private static final int ALL_CLASSES = -1;
 
     private final LoadBalancerSettings settings;
@@ -52,23 +69,23 @@
     private final SplittableRandom random;
     private final DecisionLog log;
     private final Listener listener;
-    /** The active endpoints that are ejected for at least one class, in list order. */
+    /** The active endpoints that are ejected for all classes or for at least one, in list order. */
     private final List<Endpoint> ejected = new ArrayList<>();
 
     private int activeEndpoints;
-    /** Running share of failures among the results of endpoints that are not ejected. */
+    /** Running share of failures among all results, without the failures of ejected endpoints. */
     private double commonFailureRate;
 
-    /** What follows from decisions of the detector. */
+    /** Receiver of the changes that the detector makes to endpoints. */
     public interface Listener {
-        /** An error count has changed, and with it weights. */
+        /** Handles a change of an error count, which changes weights. */
         void onErrorCountChanged();
 
-        /** An endpoint was ejected or restored, for all classes or for one. */
+        /** Handles the ejection, its extension, or the restoration of an endpoint, for all classes or for one. */
         void onEjectionsChanged();
     }
 
-    /** A detector that has seen no results. */
+    /** Creates a detector without results or endpoints. */
     public OutlierDetector(
             LoadBalancerSettings settings,
             EndpointSharing sharing,
@@ -82,7 +99,7 @@
         this.listener = listener;
     }
 
-    /** Looks through the active endpoints for those that are ejected. */
+    /** Sets the active endpoints and determines which of them are ejected. */
     public void findEjected(Endpoint[] active) {
         activeEndpoints = active.length;
         ejected.clear();
@@ -93,7 +110,7 @@
         }
     }
 
-    /** Whether any active endpoint is ejected for some class. */
+    /** Returns whether any active endpoint is ejected for all classes or for at least one. */
     public boolean hasEjected() {
         return !ejected.isEmpty();
     }
@@ -101,38 +118,43 @@
     /**
      * Counts a failure.
      *
-     * @param unhealthy whether it says something of the endpoint's health, and not only of its load
+     * @param indicatesPoorHealth whether the failure may be caused by poor health of the endpoint and not only by its
+     *     load. If not, it raises the error count but does not lead to an ejection
      */
-    public void onFailure(Endpoint endpoint, int classIndex, boolean unhealthy, long nowUs) {
+    public void onFailure(Endpoint endpoint, int classIndex, boolean indicatesPoorHealth, long nowUs) {
         setErrorCount(endpoint, endpoint.errorCount() + 1);
-        if (!unhealthy) {
+        if (!indicatesPoorHealth) {
             return;
         }
         if (!endpoint.health().isEjected()) {
             commonFailureRate += COMMON_FAILURE_GAIN * (1 - commonFailureRate);
         }
-        EndpointHealth ofClass = endpoint.healthOf(classIndex);
-        EndpointHealth overall = endpoint.health();
-        overall.recordFailure();
-        if (overall.isEjected() || (fails(overall) && !servesOtherClass(endpoint, ofClass))) {
-            eject(endpoint, overall, ALL_CLASSES, nowUs);
+        EndpointHealth classHealth = endpoint.healthOf(classIndex);
+        EndpointHealth overallHealth = endpoint.health();
+        overallHealth.recordFailure();
+        if (overallHealth.isEjected()
+                || (exceedsFailureThreshold(overallHealth) && !servesOtherClass(endpoint, classHealth))) {
+            eject(endpoint, overallHealth, ALL_CLASSES, nowUs);
         }
-        ofClass.recordFailure();
-        if (ofClass.isEjected() || fails(ofClass)) {
-            eject(endpoint, ofClass, classIndex, nowUs);
+        classHealth.recordFailure();
+        if (classHealth.isEjected() || exceedsFailureThreshold(classHealth)) {
+            eject(endpoint, classHealth, classIndex, nowUs);
         }
     }
 
-    private boolean fails(EndpointHealth health) {
+    private boolean exceedsFailureThreshold(EndpointHealth health) {
         return health.recentFailures()
-                >= EJECTION_FAILURES + COMMON_FAILURE_FACTOR * EndpointHealth.HISTORY_LENGTH * commonFailureRate;
+                >= MIN_FAILURES_TO_EJECT + COMMON_FAILURE_FACTOR * EndpointHealth.HISTORY_LENGTH * commonFailureRate;
     }
 
-    /** Whether another class has been served since this one was, without a failure among its recent results. */
-    private static boolean servesOtherClass(Endpoint endpoint, EndpointHealth ofClass) {
+    /**
+     * Returns whether another class has had a success after the last success of this class, and no failure among its
+     * recent results.
+     */
+    private static boolean servesOtherClass(Endpoint endpoint, EndpointHealth classHealth) {
         for (int c = 0; c < endpoint.classes(); c++) {
             EndpointHealth other = endpoint.healthOf(c);
-            if (other.lastSuccessAtUs() > ofClass.lastSuccessAtUs() && other.recentFailures() == 0) {
+            if (other.lastSuccessAtUs() > classHealth.lastSuccessAtUs() && other.recentFailures() == 0) {
                 return true;
             }
         }
@@ -142,48 +164,53 @@
     /**
      * Counts a success.
      *
-     * @param slow whether the response was slower than most of its class
+     * @param isSlow whether the response was slower than most of its class
      */
-    public void onSuccess(Endpoint endpoint, int classIndex, boolean slow, long nowUs) {
+    public void onSuccess(Endpoint endpoint, int classIndex, boolean isSlow, long nowUs) {
         commonFailureRate -= COMMON_FAILURE_GAIN * commonFailureRate;
-        if (restoresAfterSuccess(endpoint, ALL_CLASSES, nowUs)
-                || restoresAfterSuccess(endpoint, classIndex, nowUs)
+        if (recordSuccess(endpoint, ALL_CLASSES, nowUs)
+                || recordSuccess(endpoint, classIndex, nowUs)
                 || endpoint.health().isEjected()) {
             return;
         }
-        int errors = sharing.isSparse() ? errorsAfterSuccess(endpoint.errorCount(), slow) : 0;
-        if (errors != endpoint.errorCount()) {
-            setErrorCount(endpoint, errors);
+        int newErrorCount = sharing.isSparse() ? errorsAfterSuccess(endpoint.errorCount(), isSlow) : 0;
+        if (newErrorCount != endpoint.errorCount()) {
+            setErrorCount(endpoint, newErrorCount);
         }
     }
 
     /**
-     * Where an instance sees little of an endpoint's load, a slow response adds an error and any other takes one off, so
-     * that the weights settle where all endpoints are about equally quick.
+     * Returns the error count after a success at an instance that observes little of the endpoint's load. A slow
+     * response adds an error and any other response subtracts one, so that the weights converge to values at which all
+     * endpoints are about equally fast.
      */
-    private static int errorsAfterSuccess(int errors, boolean slow) {
-        return slow ? Math.max(errors, Math.min(MAX_ERRORS_BY_SLOWNESS, errors + 1)) : Math.max(0, errors - 1);
+    private static int errorsAfterSuccess(int errorCount, boolean isSlow) {
+        return isSlow
+                ? Math.max(errorCount, Math.min(MAX_ERRORS_FROM_SLOWNESS, errorCount + 1))
+                : Math.max(0, errorCount - 1);
     }
 
-    private boolean restoresAfterSuccess(Endpoint endpoint, int classIndex, long nowUs) {
-        boolean ofAll = classIndex == ALL_CLASSES;
-        EndpointHealth health = ofAll ? endpoint.health() : endpoint.healthOf(classIndex);
+    /** Records a success and returns whether it restored the endpoint. */
+    private boolean recordSuccess(Endpoint endpoint, int classIndex, long nowUs) {
+        boolean isForAllClasses = classIndex == ALL_CLASSES;
+        EndpointHealth health = isForAllClasses ? endpoint.health() : endpoint.healthOf(classIndex);
         health.recordSuccess(nowUs);
         if (!health.isEjected() || health.probationSuccesses() < SUCCESSES_TO_RESTORE) {
             return false;
         }
-        log.record(new EndpointRestored(endpoint.id(), !ofAll), nowUs);
+        log.record(new EndpointRestored(endpoint.id(), !isForAllClasses), nowUs);
         health.reset();
-        if (ofAll) {
+        if (isForAllClasses) {
             resetHistory(endpoint);
         }
         listener.onEjectionsChanged();
         return true;
     }
 
+    /** Ejects an endpoint unless too many are ejected, or extends its ejection. */
     private void eject(Endpoint endpoint, EndpointHealth health, int classIndex, long nowUs) {
         if (!health.isEjected()) {
-            if (2 * (ejectedFor(classIndex) + 1) > activeEndpoints) {
+            if (2 * (countEjected(classIndex) + 1) > activeEndpoints) {
                 return;
             }
             String className = classIndex == ALL_CLASSES
@@ -191,13 +218,13 @@
                     : settings.classes.get(classIndex).name();
             log.record(new EndpointEjected(endpoint.id(), health.recentFailures(), className), nowUs);
         }
-        long lastUs = health.isEjected() ? health.ejectionUs() : FIRST_EJECTION_US / 2;
-        long durationUs = Math.min(MAX_EJECTION_US, 2 * lastUs);
+        long previousDurationUs = health.isEjected() ? health.ejectionUs() : FIRST_EJECTION_US / 2;
+        long durationUs = Math.min(MAX_EJECTION_US, 2 * previousDurationUs);
         health.eject(durationUs, nowUs + durationUs / 2 + random.nextLong(durationUs));
         listener.onEjectionsChanged();
     }
 
-    private int ejectedFor(int classIndex) {
+    private int countEjected(int classIndex) {
         int count = 0;
         for (Endpoint endpoint : ejected) {
             EndpointHealth health = classIndex == ALL_CLASSES ? endpoint.health() : endpoint.healthOf(classIndex);
@@ -206,7 +233,9 @@
         return count;
     }
 
-    /** Forgets what was counted against an endpoint, as after a restart of its process. */
+    /**
+     * Clears the error count, the recent results and the ejections of an endpoint, as after a restart of its process.
+     */
     public void resetHistory(Endpoint endpoint) {
         if (endpoint.errorCount() > 0) {
             setErrorCount(endpoint, 0);
@@ -217,12 +246,15 @@
         }
     }
 
-    private void setErrorCount(Endpoint endpoint, int errors) {
-        endpoint.setErrorCount(errors);
+    private void setErrorCount(Endpoint endpoint, int newErrorCount) {
+        endpoint.setErrorCount(newErrorCount);
         listener.onErrorCountChanged();
     }
 
-    /** The first ejected endpoint that is due for a probation attempt with a request, and permitted; else null. */
+    /**
+     * Returns the first ejected endpoint that is permitted, due for a probation attempt with {@code request}, and has
+     * no requests in flight; null if there is none.
+     */
     public Endpoint findForProbation(PendingRequest request, Predicate<Endpoint> isPermitted, long nowUs) {
         for (Endpoint endpoint : ejected) {
             if (isDueForProbation(endpoint, request, nowUs)
@@ -235,15 +267,17 @@
     }
 
     private static boolean isDueForProbation(Endpoint endpoint, PendingRequest request, long nowUs) {
-        EndpointHealth overall = endpoint.health();
-        EndpointHealth ofClass = endpoint.healthOf(request.classIndex());
+        EndpointHealth overallHealth = endpoint.health();
+        EndpointHealth classHealth = endpoint.healthOf(request.classIndex());
         if (request.requestClass().idempotency() == Idempotency.NON_IDEMPOTENT) {
-            // Such requests are risked only where no other class would detect a recovery.
-            return !overall.isEjected()
-                    && ofClass.isEjected()
-                    && nowUs >= ofClass.probationAtUs() + NON_IDEMPOTENT_PROBATION_FACTOR * ofClass.ejectionUs();
+            // A non-idempotent request is sent only if no request of another class can detect the recovery.
+            return !overallHealth.isEjected()
+                    && classHealth.isEjected()
+                    && nowUs
+                            >= classHealth.probationAtUs()
+                                    + NON_IDEMPOTENT_PROBATION_FACTOR * classHealth.ejectionUs();
         }
-        return (overall.isEjected() && nowUs >= overall.probationAtUs())
-                || (ofClass.isEjected() && nowUs >= ofClass.probationAtUs());
+        return (overallHealth.isEjected() && nowUs >= overallHealth.probationAtUs())
+                || (classHealth.isEjected() && nowUs >= classHealth.probationAtUs());
     }
 }
--- a/src/main/java/loadbalancer/policy/health/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/health/SlowStart.java
@@ -9,19 +9,26 @@
 
 /**
  * Slow start: spaces the attempts at an endpoint that is warming up, so that all instances together stay below the
- * overload factor that the settings name.
+ * overload factor of the settings.
  *
- * <p>The unit is this instance's even part of all tenants' quotas, or without quotas of the rate at which it is served,
- * times the share of its capacity that a warming endpoint has at least. All instances together may send as many units
- * as the overload factor; each spends a part of them, evenly spaced. Arrivals are no measure of capacity, since clients'
- * retries multiply them under overload.
+ * <p>An endpoint's full capacity is estimated as its even share of all tenants' quotas or, without quotas, of the rate
+ * of this instance's successful responses. This estimate times the minimum share of its full capacity that a warming
+ * endpoint has is its current capacity. All instances together may send the overload factor times the current capacity;
+ * each instance uses its part of this budget, evenly spaced. The arrival rate is not used to estimate capacity, since
+ * clients' retries multiply arrivals under overload.
  */
 public final class SlowStart {
-    /** What a request costs an endpoint that has no keys cached yet, against the usual; falls to 1 as it warms up. */
+    /**
+     * Cost of a request at an endpoint that has not cached any keys yet, relative to the usual cost. The relative cost
+     * falls to 1 while the endpoint warms up.
+     */
     private static final double UNCACHED_KEY_COST = 3;
 
-    /** Part of the overload factor that is spent where the served rate, which varies, is the measure of capacity. */
-    private static final double BUDGET_SHARE_BY_RATE = 0.5;
+    /**
+     * Share of the overload factor that is used without quotas, where capacity is estimated by the rate of successful
+     * responses, which varies.
+     */
+    private static final double BUDGET_SHARE_WITHOUT_QUOTAS = 0.5;
 
     private static final double US_PER_SECOND = 1e6;
 
@@ -30,9 +37,10 @@
     private final SplittableRandom random;
     private final double quotaPerSecond;
     private int activeEndpoints;
-    private int mostActiveEndpoints;
+    /** The largest number of endpoints used so far: an endpoint's share of the quotas must not grow with removals. */
+    private int maxActiveEndpoints;
 
-    /** Slow start by these settings; {@code serviceRate} is this instance's. */
+    /** Creates the slow start of an instance; {@code serviceRate} is the rate of its successful responses. */
     public SlowStart(LoadBalancerSettings settings, ServiceRate serviceRate, SplittableRandom random) {
         this.settings = settings;
         this.serviceRate = serviceRate;
@@ -41,15 +49,15 @@
                 settings.tenants.stream().mapToDouble(Tenant::quotaPerSecond).sum();
     }
 
-    /** This instance uses so many endpoints from now on. */
+    /** Sets the number of endpoints that this instance uses. */
     public void setActiveEndpoints(int count) {
         activeEndpoints = count;
-        mostActiveEndpoints = Math.max(mostActiveEndpoints, count);
+        maxActiveEndpoints = Math.max(maxActiveEndpoints, count);
     }
 
     /**
-     * Spreads the first attempts at an endpoint that is new and warming up over one interval, since all instances learn
-     * of it at the same time.
+     * Delays the first attempt at a warming endpoint by a random part of the interval between attempts, since all
+     * instances learn of the endpoint at the same time.
      */
     public void spreadFirstAttempt(Endpoint endpoint, long nowUs) {
         if (isWarmingUp(endpoint, nowUs) && endpoint.lastAttemptAtUs() == 0) {
@@ -57,30 +65,33 @@
         }
     }
 
-    /** Whether an endpoint is warming up. */
+    /** Returns whether an endpoint is warming up. */
     public boolean isWarmingUp(Endpoint endpoint, long nowUs) {
         return endpoint.incarnationStartedAtUs() != 0 && nowUs < endpoint.warmingUpSinceUs() + settings.slowStartUs;
     }
 
-    /** Whether the slow start budget allows an attempt at an endpoint now. */
+    /** Returns whether slow start allows an attempt at an endpoint now. */
     public boolean allows(Endpoint endpoint, long nowUs) {
         return !isWarmingUp(endpoint, nowUs) || nowUs >= endpoint.lastAttemptAtUs() + intervalUs(endpoint, nowUs);
     }
 
-    /** The least time between two attempts of this instance at a warming endpoint, in microseconds. */
+    /** Returns the minimum time between two attempts of this instance at a warming endpoint, in microseconds. */
     private long intervalUs(Endpoint endpoint, long nowUs) {
         double progress = (double) (nowUs - endpoint.warmingUpSinceUs()) / settings.slowStartUs;
         double capacityShare = settings.initialCapacityShare + (1 - settings.initialCapacityShare) * progress;
         double requestCost = settings.endpointsCacheKeys ? UNCACHED_KEY_COST + (1 - UNCACHED_KEY_COST) * progress : 1;
-        double budgetShare = quotaPerSecond > 0 ? 1 : BUDGET_SHARE_BY_RATE;
-        double units = Math.max(1, settings.overloadFactor * budgetShare) / requestCost;
-        return (long) (evenIntervalUs(nowUs) / (capacityShare * units));
+        double budgetShare = quotaPerSecond > 0 ? 1 : BUDGET_SHARE_WITHOUT_QUOTAS;
+        double permittedLoadFactor = Math.max(1, settings.overloadFactor * budgetShare) / requestCost;
+        return (long) (evenIntervalUs(nowUs) / (capacityShare * permittedLoadFactor));
     }
 
-    /** The time between two attempts at one endpoint if all of them get the same number. */
+    /**
+     * Returns the time between two attempts of this instance at one endpoint, in microseconds, if all instances and
+     * endpoints had even shares.
+     */
     private double evenIntervalUs(long nowUs) {
         return quotaPerSecond > 0
-                ? US_PER_SECOND * settings.instances * mostActiveEndpoints / quotaPerSecond
+                ? US_PER_SECOND * settings.instances * maxActiveEndpoints / quotaPerSecond
                 : serviceRate.intervalUs(nowUs) * Math.max(1, activeEndpoints);
     }
 }
--- a/src/main/java/loadbalancer/policy/health/UnresponsiveAttemptDetector.java
+++ b/src/main/java/loadbalancer/policy/health/UnresponsiveAttemptDetector.java
@@ -10,64 +10,70 @@
 import loadbalancer.policy.statistics.LatencyStatistics;
 
 /**
- * Finds attempts without a response for some times the usual latency of their class. This detects endpoints that lose
- * requests or responses while clients leave before any time-out is due.
+ * Detects attempts that have had no response for a multiple of the mean latency of their class. This reveals endpoints
+ * that lose requests or responses even if clients disconnect before any timeout expires.
  */
 public final class UnresponsiveAttemptDetector {
-    /** Mean latencies after which an attempt is unresponsive: of exponential latencies one in fifty is longer. */
-    private static final double MEAN_LATENCIES = 4;
+    /**
+     * Multiple of the mean latency after which an attempt is unresponsive. Of exponentially distributed latencies, one
+     * in fifty is longer.
+     */
+    private static final double UNRESPONSIVE_AFTER_MEAN_LATENCIES = 4;
 
-    /** Where the mean latency is not known yet; far from an overflow. */
+    /** Used while the mean latency is not known yet; small enough that a sum with a time does not overflow. */
     private static final long NEVER_US = Long.MAX_VALUE / 4;
 
     private final LoadBalancerSettings settings;
     private final LatencyStatistics latencies;
-    /** By class, in the order in which they began. */
+    /** The watched attempts by class, oldest first. */
     private final List<ArrayDeque<WatchedAttempt>> watched = new ArrayList<>();
 
-    /** An attempt in flight with its request. */
+    /** An attempt with its request; it may have ended since it was added. */
     private record WatchedAttempt(PendingRequest request, Attempt attempt) {
-        boolean isOver() {
+        boolean hasEnded() {
             return request.isFinished() || !attempt.isInFlight();
         }
     }
 
-    /** What becomes of attempts that are found. */
+    /** Receiver of unresponsive attempts. */
     public interface Listener {
-        /** An attempt in flight is unresponsive; each is reported once. */
+        /** Handles an attempt in flight that is unresponsive. Each attempt is reported at most once. */
         void onUnresponsiveAttempt(PendingRequest request, Attempt attempt, long nowUs);
     }
 
-    /** A detector that watches nothing yet. */
+    /** Creates a detector without watched attempts. */
     public UnresponsiveAttemptDetector(LoadBalancerSettings settings, LatencyStatistics latencies) {
         this.settings = settings;
         this.latencies = latencies;
         settings.classes.forEach(requestClass -> watched.add(new ArrayDeque<>()));
     }
 
-    /** Watches an attempt that has just begun. */
+    /** Adds an attempt that has just begun. */
     public void watch(PendingRequest request, Attempt attempt) {
         watched.get(request.classIndex()).add(new WatchedAttempt(request, attempt));
     }
 
-    /** Reports the attempts that have become unresponsive; the listener may have others watched meanwhile. */
+    /** Reports the attempts that have become unresponsive. The listener may call {@link #watch} meanwhile. */
     public void detect(Listener listener, long nowUs) {
         for (int c = 0; c < watched.size(); c++) {
-            ArrayDeque<WatchedAttempt> ofClass = watched.get(c);
-            while (!ofClass.isEmpty()) {
-                WatchedAttempt oldest = ofClass.peek();
-                if (!oldest.isOver() && nowUs < unresponsiveAtUs(oldest, c)) {
+            ArrayDeque<WatchedAttempt> classAttempts = watched.get(c);
+            while (!classAttempts.isEmpty()) {
+                WatchedAttempt oldest = classAttempts.peek();
+                if (!oldest.hasEnded() && nowUs < unresponsiveAtUs(oldest, c)) {
                     break;
                 }
-                ofClass.poll();
-                if (!oldest.isOver()) {
+                classAttempts.poll();
+                if (!oldest.hasEnded()) {
                     listener.onUnresponsiveAttempt(oldest.request, oldest.attempt, nowUs);
                 }
             }
         }
     }
 
-    /** When {@link #detect} is due, at {@code earliestUs} at the earliest; {@link Long#MAX_VALUE} if never. */
+    /**
+     * Returns the time at which {@link #detect} has to be called next, but not before {@code earliestUs};
+     * {@link Long#MAX_VALUE} if no attempt is watched.
+     */
     public long nextCheckUs(long earliestUs) {
         long nextUs = Long.MAX_VALUE;
         for (int c = 0; c < watched.size(); c++) {
@@ -85,7 +91,8 @@
 
     private long unresponsiveAfterUs(int classIndex) {
         return latencies.isMeanReliable(classIndex)
-                ? (long) (MEAN_LATENCIES * latencies.meanUs(classIndex)) + 2 * settings.eventIntervalUs
+                ? (long) (UNRESPONSIVE_AFTER_MEAN_LATENCIES * latencies.meanUs(classIndex))
+                        + 2 * settings.eventIntervalUs
                 : NEVER_US;
     }
 }
--- a/src/main/java/loadbalancer/policy/health/package-info.java
+++ b/src/main/java/loadbalancer/policy/health/package-info.java
@@ -1,2 +1,2 @@
-/** The health of endpoints: error counts and outlier detection, unresponsive attempts, slow start. */
+/** The health of endpoints: outlier detection by error counts, detection of unresponsive attempts, and slow start. */
 package loadbalancer.policy.health;
--- a/src/main/java/loadbalancer/policy/selection/EndpointFilter.java
+++ b/src/main/java/loadbalancer/policy/selection/EndpointFilter.java
@@ -3,8 +3,8 @@
 import loadbalancer.policy.model.Endpoint;
 import loadbalancer.policy.model.PendingRequest;
 
-/** Which endpoints a request may be sent to now. */
+/** Decides which endpoints a request may be sent to at a given time. */
 public interface EndpointFilter {
-    /** Whether an attempt of a request may be made at an endpoint. */
+    /** Returns whether an attempt of {@code request} may be started at {@code endpoint} now. */
     boolean mayAttemptAt(PendingRequest request, Endpoint endpoint, long nowUs);
 }
--- a/src/main/java/loadbalancer/policy/selection/EndpointPicker.java
+++ b/src/main/java/loadbalancer/policy/selection/EndpointPicker.java
@@ -9,23 +9,29 @@
 import loadbalancer.policy.model.PendingRequest;
 
 /**
- * Picks endpoints among the active ones: two at random by weight, of which the one with fewer of this instance's
- * requests in flight is taken.
+ * Picks endpoints among the active ones: picks two at random by weight and returns the one with fewer of this
+ * instance's requests in flight.
  *
- * <p>Where endpoints cache keys, the picks are determined by the request's key: every instance picks the same endpoints
- * for a key, and an endpoint that gains errors loses keys to those picked next, while other keys stay where they are
- * cached. If none of a key's picks has capacity the request waits, since any other endpoint would have to do the work
- * that the cache saves.
+ * <p>Where endpoints cache keys, the request's key determines the picks. Every instance picks the same endpoints for a
+ * key. An endpoint whose error count grows loses some keys to the next picks of these keys; all other keys stay where
+ * they are cached. If none of a key's picks has capacity, the request waits: any other endpoint would have to do the
+ * work that the cache saves.
  */
 public final class EndpointPicker {
-    /** Picks after one that is not permitted: to look through all of a large fleet would cost too much CPU. */
+    /**
+     * Maximum number of picks after a first one that is not permitted. Examining every endpoint of a long list would
+     * use too much CPU time.
+     */
     private static final int MAX_REPEATED_PICKS = 15;
 
-    /** Picks for a key; weights reject some of them. */
+    /** Number of picks that a key determines. Some of them are rejected because of the endpoint's weight. */
     private static final int PICKS_PER_KEY = 8;
 
-    /** Own requests in flight from which on a local endpoint is compared with those of other zones. */
-    private static final int REMOTE_FROM_IN_FLIGHT = 2;
+    /**
+     * Number of this instance's requests in flight at a local endpoint from which on all zones are considered, and
+     * by which an endpoint picked from all zones must have fewer in flight to be preferred.
+     */
+    private static final int REMOTE_IN_FLIGHT_MARGIN = 2;
 
     private static final Endpoint[] NO_ENDPOINTS = {};
 
@@ -34,84 +40,92 @@
     private final EndpointFilter filter;
     private final EndpointWeights weights = new EndpointWeights();
     private Endpoint[] active = NO_ENDPOINTS;
-    private EndpointSelection everywhere = new EndpointSelection(NO_ENDPOINTS, false);
-    /** Those of the local zone where crossing zones has a cost, else the same as {@link #everywhere}. */
-    private EndpointSelection local = everywhere;
+    private EndpointSelection allEndpoints = new EndpointSelection(NO_ENDPOINTS, false);
+    /** The endpoints of the local zone if crossing zones has a cost, otherwise equal to {@link #allEndpoints}. */
+    private EndpointSelection localEndpoints = allEndpoints;
 
-    /** A picker that has no endpoints yet. */
+    /** Creates a picker that has no endpoints yet. */
     public EndpointPicker(LoadBalancerSettings settings, SplittableRandom random, EndpointFilter filter) {
         this.settings = settings;
         this.random = random;
         this.filter = filter;
     }
 
-    /** Picks among these endpoints from now on. */
+    /** Sets the endpoints to pick from. */
     public void setActive(Endpoint[] newActive) {
         active = newActive;
-        everywhere = new EndpointSelection(newActive, settings.endpointsCacheKeys);
-        local = settings.crossZoneCost == 0 ? everywhere : new EndpointSelection(localEndpoints(newActive), false);
+        allEndpoints = new EndpointSelection(newActive, settings.endpointsCacheKeys);
+        localEndpoints =
+                settings.crossZoneCost == 0 ? allEndpoints : new EndpointSelection(filterLocal(newActive), false);
         weights.markStale();
     }
 
-    private Endpoint[] localEndpoints(Endpoint[] endpoints) {
+    private Endpoint[] filterLocal(Endpoint[] endpoints) {
         return Arrays.stream(endpoints)
                 .filter(endpoint -> endpoint.zone() == settings.localZone)
                 .toArray(Endpoint[]::new);
     }
 
-    /** Error counts or ejections have changed. */
+    /** Has the weights recomputed at the next pick. To be called when error counts or ejections have changed. */
     public void markWeightsStale() {
         weights.markStale();
     }
 
     /**
-     * An endpoint for the first attempt of a request, or null. Where crossing zones has a cost, both picks are local, and
-     * two more from all zones win only if the local one is overloaded, fails, or has some requests more in flight.
+     * Picks an endpoint for a request without attempts in flight, or null if none is permitted.
+     *
+     * <p>If crossing zones has a cost and the request has no key affinity, a local endpoint is picked first and
+     * returned if it has few requests in flight and no errors. Otherwise an endpoint is also picked from all zones. The
+     * latter is returned if no local endpoint was found, if it has fewer errors than the local one, or if it has at
+     * least {@link #REMOTE_IN_FLIGHT_MARGIN} fewer requests in flight.
      */
     public Endpoint pick(PendingRequest request, long nowUs) {
-        boolean localOnly = local == everywhere || request.hasKeyAffinity();
-        Endpoint best = pickOfTwo(request, request.hasKeyAffinity() ? everywhere : local, nowUs);
+        boolean localOnly = localEndpoints == allEndpoints || request.hasKeyAffinity();
+        Endpoint best = pickOfTwo(request, request.hasKeyAffinity() ? allEndpoints : localEndpoints, nowUs);
         if (localOnly || (best != null && isLightlyLoaded(best))) {
             return best;
         }
-        Endpoint remote = pickOfTwo(request, everywhere, nowUs);
-        return best == null || (remote != null && isPreferable(remote, best)) ? remote : best;
+        Endpoint fromAllZones = pickOfTwo(request, allEndpoints, nowUs);
+        return best == null || (fromAllZones != null && isPreferable(fromAllZones, best)) ? fromAllZones : best;
     }
 
     private static boolean isLightlyLoaded(Endpoint endpoint) {
-        return endpoint.concurrency().inFlight() < REMOTE_FROM_IN_FLIGHT && endpoint.errorCount() == 0;
+        return endpoint.concurrency().inFlight() < REMOTE_IN_FLIGHT_MARGIN && endpoint.errorCount() == 0;
     }
 
-    private static boolean isPreferable(Endpoint remote, Endpoint localEndpoint) {
-        return remote.concurrency().inFlight() + REMOTE_FROM_IN_FLIGHT
+    private static boolean isPreferable(Endpoint candidate, Endpoint localEndpoint) {
+        return candidate.concurrency().inFlight() + REMOTE_IN_FLIGHT_MARGIN
                         <= localEndpoint.concurrency().inFlight()
-                || remote.errorCount() < localEndpoint.errorCount();
+                || candidate.errorCount() < localEndpoint.errorCount();
     }
 
-    /** Of two picks the one with fewer own requests in flight; ties at random, or by the key. */
+    /**
+     * Picks two endpoints and returns the one with fewer of this instance's requests in flight. A tie is broken at
+     * random, or in favor of the first pick if the request has key affinity.
+     */
     private Endpoint pickOfTwo(PendingRequest request, EndpointSelection selection, long nowUs) {
         Endpoint first = pickOne(request, selection, null, nowUs);
         Endpoint second = first == null ? null : pickOne(request, selection, first, nowUs);
         if (second == null) {
             return first;
         }
-        int difference = first.concurrency().inFlight() - second.concurrency().inFlight();
-        if (difference != 0) {
-            return difference < 0 ? first : second;
+        int inFlightDifference = first.concurrency().inFlight() - second.concurrency().inFlight();
+        if (inFlightDifference != 0) {
+            return inFlightDifference < 0 ? first : second;
         }
-        // Picks are in random order, but by weight: a tie is broken at random.
+        // The first pick is more likely to be the one with the higher weight, so a tie is broken at random.
         return request.hasKeyAffinity() || random.nextInt(2) == 0 ? first : second;
     }
 
-    /** One pick by weight among the permitted endpoints but for {@code except}; null if there is none. */
-    private Endpoint pickOne(PendingRequest request, EndpointSelection selection, Endpoint except, long nowUs) {
-        weights.refresh(active, everywhere, local);
+    /** Picks one permitted endpoint other than {@code excluded} by weight, or returns null if it finds none. */
+    private Endpoint pickOne(PendingRequest request, EndpointSelection selection, Endpoint excluded, long nowUs) {
+        weights.refresh(active, allEndpoints, localEndpoints);
         if (request.hasKeyAffinity()) {
-            return pickByKey(request, selection, except, false, nowUs);
+            return pickByKey(request, selection, excluded, false, nowUs);
         }
         for (int i = 0; i <= MAX_REPEATED_PICKS && selection.size() > 0; i++) {
             Endpoint endpoint = selection.get(weights.pickIndex(selection, random));
-            if (endpoint != except && filter.mayAttemptAt(request, endpoint, nowUs)) {
+            if (endpoint != excluded && filter.mayAttemptAt(request, endpoint, nowUs)) {
                 return endpoint;
             }
         }
@@ -119,13 +133,13 @@
     }
 
     private Endpoint pickByKey(
-            PendingRequest request, EndpointSelection selection, Endpoint except, boolean exceptTried, long nowUs) {
+            PendingRequest request, EndpointSelection selection, Endpoint excluded, boolean excludeTried, long nowUs) {
         Endpoint[] table = selection.keyTable();
         for (int i = 0; i < PICKS_PER_KEY && table.length > 0; i++) {
             long hash = KeyHash.ofPick(request.keySeed(), i);
             Endpoint endpoint = table[(int) ((hash >>> 32) % table.length)];
-            boolean excluded = endpoint == except || (exceptTried && request.hasTried(endpoint));
-            if (weights.accepts(endpoint, hash) && !excluded && filter.mayAttemptAt(request, endpoint, nowUs)) {
+            boolean isExcluded = endpoint == excluded || (excludeTried && request.hasTried(endpoint));
+            if (weights.accepts(endpoint, hash) && !isExcluded && filter.mayAttemptAt(request, endpoint, nowUs)) {
                 return endpoint;
             }
         }
@@ -133,12 +147,13 @@
     }
 
     /**
-     * An endpoint for a retry, or null: the next one in list order that was not tried yet, or by the key if the request
-     * is known not to have been executed.
+     * Picks an endpoint that was not tried yet for a retry or a hedge, or returns null if none is permitted. The pick
+     * follows the key if the request has key affinity and is known not to have been executed; otherwise it is the next
+     * endpoint in list order after {@code failed}.
      */
     public Endpoint pickForRetry(PendingRequest request, Endpoint failed, long nowUs) {
         if (request.hasKeyAffinity() && request.firstPossiblyExecuted() == null) {
-            return pickByKey(request, everywhere, null, true, nowUs);
+            return pickByKey(request, allEndpoints, null, true, nowUs);
         }
         for (int i = 1; i <= active.length; i++) {
             Endpoint next = active[(failed.position() + i) % active.length];
--- a/src/main/java/loadbalancer/policy/selection/MaglevTable.java
+++ b/src/main/java/loadbalancer/policy/selection/MaglevTable.java
@@ -4,9 +4,9 @@
 import java.util.function.ToLongFunction;
 
 /**
- * A lookup table that endpoints share evenly, as in Maglev hashing: they take turns in claiming entries, each in an order
- * of its own that follows from its hash. Every instance builds the same table from the same endpoints, and a change of
- * the endpoints moves few entries.
+ * A Maglev hashing lookup table, in which all endpoints have about the same number of entries. The endpoints take turns
+ * in claiming entries, and each one probes the entries in an order that its hash determines. Every instance builds the
+ * same table from the same endpoints, and a change of the endpoints moves few entries.
  */
 final class MaglevTable {
     private MaglevTable() {}
@@ -14,48 +14,48 @@
     /**
      * Builds a table.
      *
-     * @param size the number of entries, a prime
-     * @param rowSize the table is used in rows of this size, in none of which an endpoint is twice; entries that no
-     *     endpoint may claim for that reason are null
+     * @param size the number of entries in the table, a prime
+     * @param rowSize the number of entries in a row. No row contains an endpoint twice; an entry that no endpoint may
+     *     claim for this reason is null
      */
     static <T> T[] build(T[] endpoints, ToLongFunction<T> hash, int size, int rowSize) {
-        T[] inTurn = endpoints.clone();
-        Arrays.sort(inTurn, (a, b) -> Long.compare(hash.applyAsLong(a), hash.applyAsLong(b)));
+        T[] sorted = endpoints.clone();
+        Arrays.sort(sorted, (a, b) -> Long.compare(hash.applyAsLong(a), hash.applyAsLong(b)));
         T[] table = Arrays.copyOf(endpoints, size);
         Arrays.fill(table, null);
-        int[] next = new int[inTurn.length];
-        int[] tried = new int[inTurn.length];
-        for (int i = 0; i < inTurn.length; i++) {
-            next[i] = (int) Math.floorMod(hash.applyAsLong(inTurn[i]), (long) size);
+        int[] nextEntry = new int[sorted.length];
+        int[] probedEntries = new int[sorted.length];
+        for (int i = 0; i < sorted.length; i++) {
+            nextEntry[i] = (int) Math.floorMod(hash.applyAsLong(sorted[i]), (long) size);
         }
-        int free = size;
-        int withoutClaim = 0;
-        for (int i = 0; free > 0 && withoutClaim < inTurn.length; i = (i + 1) % inTurn.length) {
-            int skip = 1 + (int) Math.floorMod(hash.applyAsLong(inTurn[i]) >> 32, size - 1L);
-            while (tried[i] < size && !claim(table, inTurn[i], next[i], rowSize)) {
-                next[i] = (next[i] + skip) % size;
-                tried[i]++;
+        int freeEntries = size;
+        int turnsWithoutClaim = 0;
+        for (int i = 0; freeEntries > 0 && turnsWithoutClaim < sorted.length; i = (i + 1) % sorted.length) {
+            int skip = 1 + (int) Math.floorMod(hash.applyAsLong(sorted[i]) >> 32, size - 1L);
+            while (probedEntries[i] < size && !claim(table, sorted[i], nextEntry[i], rowSize)) {
+                nextEntry[i] = (nextEntry[i] + skip) % size;
+                probedEntries[i]++;
             }
-            boolean claimed = tried[i] < size;
-            withoutClaim = claimed ? 0 : withoutClaim + 1;
-            free -= claimed ? 1 : 0;
+            boolean claimed = probedEntries[i] < size;
+            turnsWithoutClaim = claimed ? 0 : turnsWithoutClaim + 1;
+            freeEntries -= claimed ? 1 : 0;
         }
         return table;
     }
 
     private static <T> boolean claim(T[] table, T endpoint, int entry, int rowSize) {
-        int row = entry - entry % rowSize;
-        int rowEnd = Math.min(row + rowSize, table.length);
-        if (table[entry] != null || Arrays.asList(table).subList(row, rowEnd).contains(endpoint)) {
+        int rowStart = entry - entry % rowSize;
+        int rowEnd = Math.min(rowStart + rowSize, table.length);
+        if (table[entry] != null || Arrays.asList(table).subList(rowStart, rowEnd).contains(endpoint)) {
             return false;
         }
         table[entry] = endpoint;
         return true;
     }
 
-    /** The least prime from an odd number on, or from the one after an even number. */
-    static int nextPrime(int from) {
-        int candidate = from | 1;
+    /** Returns the smallest odd prime that is not below {@code minimum}, which must be above 1. */
+    static int nextPrime(int minimum) {
+        int candidate = minimum | 1;
         while (!isOddPrime(candidate)) {
             candidate += 2;
         }
--- a/src/main/java/loadbalancer/policy/selection/package-info.java
+++ b/src/main/java/loadbalancer/policy/selection/package-info.java
@@ -1,2 +1,5 @@
-/** Which endpoint an attempt goes to: weighted choice of two, key affinity, locality, subsets of a large fleet. */
+/**
+ * Selection of the endpoint for an attempt: weighted choice of two, key affinity, preference for the local zone, and
+ * the subsets of endpoints that instances use in a large fleet.
+ */
 package loadbalancer.policy.selection;
