--- a/src/test/java/loadbalancer/policy/admission/ConcurrencyLimiterTest.java
+++ b/src/test/java/loadbalancer/policy/admission/ConcurrencyLimiterTest.java
@@ -23,12 +23,12 @@
 import loadbalancer.policy.statistics.ServiceRate;
 import loadbalancer.policy.statistics.TimelyResponseRate;
 
-/** The latency objective is 200 ms, so that with one recorded latency responses above 70 ms are slow. */
+/** Tests {@link ConcurrencyLimiter}. With an objective of 200 ms and one recorded latency, more than 70 ms is slow. */
 class ConcurrencyLimiterTest {
     private static final long NOW_US = 10_000_000;
     private static final long QUICK_US = 10_000;
     private static final long SLOW_US = 70_001;
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_ERROR = 1e-9;
 
     private final LoadBalancerSettings settings = PolicyTestObjects.settings();
     private final LatencyStatistics latencies = new LatencyStatistics(settings.classes.size());
@@ -38,11 +38,11 @@
 
     ConcurrencyLimiterTest() {
         latencies.record(0, QUICK_US);
-        use(1, 1);
+        createLimiter(1, 1);
     }
 
-    /** A limiter of one among so many instances, all of which share these endpoints. */
-    private void use(int instances, int endpoints) {
+    /** Creates the limiter of one of {@code instances} instances, all of which share the endpoints. */
+    private void createLimiter(int instances, int endpoints) {
         active = PolicyTestObjects.activeEndpoints(settings, endpoints);
         limiter = new ConcurrencyLimiter(
                 settings,
@@ -75,7 +75,7 @@
         return request.startAttempt(endpoint, NOW_US);
     }
 
-    /** Starts attempts at the first endpoint while it has capacity; how many. */
+    /** Starts attempts at the first endpoint while it has capacity, and returns their number. */
     private int startUpToLimit(boolean overQuota) {
         int started = 0;
         while (started < 100) {
@@ -92,7 +92,7 @@
         return started;
     }
 
-    /** One attempt at the first endpoint that ends so. */
+    /** Starts an attempt at the first endpoint and ends it with this result. */
     private void complete(AttemptResult result, long latencyUs) {
         PendingRequest request = request();
         complete(request, start(request, active[0]), new ObservedOutcome(result, latencyUs, false));
@@ -117,21 +117,21 @@
     }
 
     @Test
-    void instancesDivideTheInitialLimit() {
-        use(8, 1);
+    void instancesShareTheInitialLimit() {
+        createLimiter(8, 1);
         assertEquals(0.5, limit());
     }
 
     @Test
-    void whereEndpointsCacheKeysTheInitialLimitIsSixTimesAsHigh() {
+    void theInitialLimitIsSixTimesAsHighIfEndpointsCacheKeys() {
         settings.endpointsCacheKeys = true;
-        use(1, 1);
+        createLimiter(1, 1);
         assertEquals(24, limit());
     }
 
     @Test
-    void aNewEndpointStartsNoHigherThanTheAverage() {
-        use(1, 3);
+    void theLimitOfANewEndpointIsNoHigherThanTheAverage() {
+        createLimiter(1, 3);
         active[0].concurrency().setLimit(1);
         active[1].concurrency().setLimit(2);
         active[2].concurrency().setLimit(0);
@@ -141,8 +141,8 @@
     }
 
     @Test
-    void aNewEndpointStartsNoHigherThanTheInitialLimit() {
-        use(1, 2);
+    void theLimitOfANewEndpointIsNoHigherThanTheInitialLimit() {
+        createLimiter(1, 2);
         active[0].concurrency().setLimit(10);
         active[1].concurrency().setLimit(0);
         limiter.initializeLimits(Arrays.asList(active), active);
@@ -151,7 +151,7 @@
 
     @Test
     void requestsInFlightStayBelowTheSumOfAllLimits() {
-        use(8, 8);
+        createLimiter(8, 8);
         for (int i = 0; i < 4; i++) {
             assertTrue(limiter.hasCapacity(request(), active[i], NOW_US));
             start(request(), active[i]);
@@ -161,7 +161,7 @@
 
     @Test
     void ejectedEndpointsDoNotCountTowardsTheSum() {
-        use(8, 8);
+        createLimiter(8, 8);
         for (int i = 0; i < 4; i++) {
             start(request(), active[0]);
         }
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void anAttemptIsReleasedOnce() {
+    void anAttemptIsReleasedOnlyOnce() {
         Attempt attempt = start(request(), active[0]);
         start(request(), active[0]);
         limiter.release(attempt);
@@ -183,8 +183,8 @@
     void aQuickResponseRaisesALimitThatWasReached() {
         startUpToLimit(false);
         complete(AttemptResult.OK, QUICK_US);
-        // The step is 0.15, of which half remains while three of four responses are timely.
-        assertEquals(4.075, limit(), ROUNDING);
+        // The step is 0.15, and half of it is used while three of four responses are timely.
+        assertEquals(4.075, limit(), ROUNDING_ERROR);
     }
 
     @Test
@@ -195,7 +195,7 @@
 
     @Test
     void theLimitOfAWarmingEndpointGrowsNoFurtherThanTheAverage() {
-        use(1, 2);
+        createLimiter(1, 2);
         active[0].startIncarnation(NOW_US, NOW_US);
         startUpToLimit(false);
         complete(AttemptResult.OK, QUICK_US);
@@ -203,13 +203,13 @@
         active[1].concurrency().setLimit(5);
         limiter.sumUp(active);
         complete(AttemptResult.OK, QUICK_US);
-        assertEquals(4.075, limit(), ROUNDING);
+        assertEquals(4.075, limit(), ROUNDING_ERROR);
     }
 
     @Test
     void aSlowResponseCutsTheLimitByATenth() {
         complete(AttemptResult.OK, SLOW_US);
-        assertEquals(3.6, limit(), ROUNDING);
+        assertEquals(3.6, limit(), ROUNDING_ERROR);
     }
 
     @Test
@@ -220,19 +220,19 @@
         Attempt secondAttempt = start(second, active[0]);
         complete(first, firstAttempt, new ObservedOutcome(AttemptResult.OK, SLOW_US, false));
         complete(second, secondAttempt, new ObservedOutcome(AttemptResult.OK, SLOW_US, false));
-        assertEquals(3.6, limit(), ROUNDING);
+        assertEquals(3.6, limit(), ROUNDING_ERROR);
     }
 
     @Test
     void aRejectionCutsTheLimitByThreeTenths() {
         complete(AttemptResult.REJECTED, 1_000);
-        assertEquals(2.8, limit(), ROUNDING);
+        assertEquals(2.8, limit(), ROUNDING_ERROR);
     }
 
     @Test
-    void whereEndpointsCacheKeysARejectionCutsTheLimitToTheRequestsInFlight() {
+    void aRejectionCutsTheLimitToTheRequestsInFlightIfEndpointsCacheKeys() {
         settings.endpointsCacheKeys = true;
-        use(1, 1);
+        createLimiter(1, 1);
         start(request(), active[0]);
         complete(AttemptResult.REJECTED, 1_000);
         assertEquals(2, limit());
@@ -243,7 +243,7 @@
         PendingRequest request = request();
         Attempt attempt = start(request, active[0]);
         complete(request, attempt, new ObservedOutcome(AttemptResult.CANCELLED, SLOW_US, true));
-        assertEquals(3.6, limit(), ROUNDING);
+        assertEquals(3.6, limit(), ROUNDING_ERROR);
     }
 
     @Test
@@ -253,41 +253,41 @@
         active[0].concurrency().resetLimit();
         setLimits(4);
         complete(AttemptResult.TIMEOUT, 1_000_000);
-        assertEquals(2.8, limit(), ROUNDING);
+        assertEquals(2.8, limit(), ROUNDING_ERROR);
     }
 
     @ParameterizedTest
     @EnumSource(
             value = AttemptResult.class,
             names = {"ERROR", "CONNECT_FAILED", "RESET", "CANCELLED", "NOT_SENT"})
-    void otherResultsLeaveTheLimit(AttemptResult result) {
+    void otherResultsDoNotChangeTheLimit(AttemptResult result) {
         startUpToLimit(false);
         complete(result, SLOW_US);
         assertEquals(4, limit());
     }
 
     @Test
-    void allInstancesTogetherKeepALimitOfOne() {
-        use(4, 1);
+    void theLimitsOfAllInstancesAddUpToAtLeastOne() {
+        createLimiter(4, 1);
         setLimits(0.3);
         complete(AttemptResult.REJECTED, 1_000);
         assertEquals(0.25, limit());
     }
 
     @Test
-    void cutsOfManyInstancesAreLarger() {
-        use(16, 1);
+    void cutsAreLargerIfManyInstancesShareAnEndpoint() {
+        createLimiter(16, 1);
         setLimits(10);
         complete(AttemptResult.OK, SLOW_US);
-        // With the fourth root of 16 instances, two cuts of a tenth.
-        assertEquals(8.1, limit(), ROUNDING);
+        // The fourth root of 16 instances is 2, so that the limit is cut by a tenth twice.
+        assertEquals(8.1, limit(), ROUNDING_ERROR);
     }
 
     @Test
     void anEndpointWithALimitBelowOnePausesBetweenRequests() {
-        use(8, 1);
+        createLimiter(8, 1);
         complete(AttemptResult.OK, QUICK_US);
-        // A limit of one half: requests of 10 ms may begin every 20 ms.
+        // With a limit of one half, requests that take 10 ms may begin every 20 ms.
         assertFalse(limiter.hasCapacity(request(), active[0], NOW_US + 19_999));
         assertTrue(limiter.hasCapacity(request(), active[0], NOW_US + 20_000));
     }
--- a/src/test/java/loadbalancer/policy/admission/LoadShedderTest.java
+++ b/src/test/java/loadbalancer/policy/admission/LoadShedderTest.java
@@ -16,7 +16,7 @@
 import loadbalancer.policy.statistics.LatencyStatistics;
 import loadbalancer.policy.statistics.TimelyResponseRate;
 
-/** The admission probability of {@link LoadShedder}. */
+/** Tests the admission probability of {@link LoadShedder}. */
 class LoadShedderTest {
     private static final long SEED = 11;
     private static final int REQUESTS = 1_000;
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Expects that each request is admitted with this probability by the next random number. */
+    /** Asserts that each request is admitted if the next random number is below this probability, and only then. */
     private void assertAdmissionProbability(double probability, LoadShedder shedder) {
         SplittableRandom sameRandom = new SplittableRandom(SEED);
         for (int i = 0; i < REQUESTS; i++) {
@@ -47,13 +47,16 @@
     }
 
     @Test
-    void inASmallFleetAllRequestsAreAdmitted() {
+    void allRequestsAreAdmittedInASmallFleet() {
         recordLateResponses(100);
         LoadShedder shedder = shedder(20);
         for (int i = 0; i < REQUESTS; i++) {
             assertTrue(shedder.admits(request));
         }
-        assertEquals(new SplittableRandom(SEED).nextLong(), random.nextLong(), "no random number is drawn");
+        assertEquals(
+                new SplittableRandom(SEED).nextLong(),
+                random.nextLong(),
+                "the load shedder must not draw a random number");
     }
 
     @Test
@@ -73,7 +76,7 @@
 
     @Test
     void requestsOfLowPriorityAreShedFirst() {
-        // Without a priority the factor is 0.75, with the highest it is 1.25.
+        // The priority factor is 0.75 for a request without priority and 1.25 for the highest priority.
         recordLateResponses(4);
         assertAdmissionProbability(0.295837, shedder(24));
     }
--- a/src/test/java/loadbalancer/policy/admission/RequestPrioritiesTest.java
+++ b/src/test/java/loadbalancer/policy/admission/RequestPrioritiesTest.java
@@ -12,7 +12,7 @@
 import loadbalancer.policy.model.PendingRequest;
 import loadbalancer.policy.statistics.LatencyStatistics;
 
-/** Priorities by class, work and quota of {@link RequestPriorities}. */
+/** Tests how {@link RequestPriorities} derives priorities from class, work and quota. */
 class RequestPrioritiesTest {
     private static final long NOW_US = 5_000_000;
 
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void thePriorityIsTheWeightOverTheMeanLatency() {
+    void thePriorityIsTheWeightDividedByTheMeanLatency() {
         latencies.record(0, 10_000);
         assertEquals(
                 1.0 / 10_000,
@@ -34,14 +34,14 @@
     }
 
     @Test
-    void weightsByWorkAreThePriority() {
+    void weightsPerUnitOfWorkAreThePriority() {
         latencies.record(0, 10_000);
         settings.weightByWork = true;
         assertEquals(1, assigned(new RequestPriorities(settings, latencies), 0).priority());
     }
 
     @Test
-    void overItsQuotaATenantsRequestsHavePartOfTheirPriority() {
+    void requestsOverTheirTenantsQuotaHaveLowerPriority() {
         settings.tenants.set(0, new Tenant("tenant", 1));
         settings.overQuotaPriorityWeight = 0.25;
         settings.weightByWork = true;
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void whereEndpointsCacheKeysOnlyThePriorityDependsOnTheQuota() {
+    void theQuotaAffectsOnlyThePriorityIfEndpointsCacheKeys() {
         settings.tenants.set(0, new Tenant("tenant", 1));
         settings.overQuotaPriorityWeight = 0.25;
         settings.weightByWork = true;
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void theRelativePriorityComparesWithTheHighestOfAllClasses() {
+    void theRelativePriorityRefersToTheHighestOfAllClasses() {
         latencies.record(0, 10_000);
         latencies.record(1, 40_000);
         RequestPriorities priorities = new RequestPriorities(settings, latencies);
--- a/src/test/java/loadbalancer/policy/admission/RequestQueueTest.java
+++ b/src/test/java/loadbalancer/policy/admission/RequestQueueTest.java
@@ -15,19 +15,19 @@
 import loadbalancer.policy.model.PendingRequest;
 import loadbalancer.policy.statistics.LatencyStatistics;
 
-/** The order, search and expiry of {@link RequestQueue}. */
+/** Tests the order, the endpoint selection and the expiry of requests in {@link RequestQueue}. */
 class RequestQueueTest implements RequestQueue.Dispatcher {
     private static final long NOW_US = 10_000_000;
     private static final long SWEEP_INTERVAL_US = 5_000;
-    private static final int KEYED_PICKS = 4;
+    private static final int MAX_FAILED_KEYED_PICKS = 4;
 
     private final LoadBalancerSettings settings = PolicyTestObjects.settings();
     private final LatencyStatistics latencies = new LatencyStatistics(settings.classes.size());
     private final RequestQueue queue = new RequestQueue(settings, latencies, SWEEP_INTERVAL_US, this);
     private final Endpoint endpoint = PolicyTestObjects.endpoint(settings, "a");
-    private final List<PendingRequest> lookedFor = new ArrayList<>();
+    private final List<PendingRequest> selectionCalls = new ArrayList<>();
     private final List<PendingRequest> started = new ArrayList<>();
-    private final List<PendingRequest> ended = new ArrayList<>();
+    private final List<PendingRequest> rejectedOrFailed = new ArrayList<>();
     private int capacity;
     private boolean mayRetry = true;
 
@@ -38,7 +38,7 @@
 
     @Override
     public Endpoint selectFirstEndpoint(PendingRequest request, long nowUs) {
-        lookedFor.add(request);
+        selectionCalls.add(request);
         return capacity > 0 ? endpoint : null;
     }
 
@@ -50,7 +50,7 @@
 
     @Override
     public void rejectOrFail(PendingRequest request) {
-        ended.add(request);
+        rejectedOrFailed.add(request);
     }
 
     private PendingRequest enqueue(int classIndex, String key, double priority) {
@@ -65,11 +65,11 @@
     }
 
     private void dispatch(long nowUs) {
-        queue.dispatch(KEYED_PICKS, nowUs);
+        queue.dispatch(MAX_FAILED_KEYED_PICKS, nowUs);
     }
 
     @Test
-    void theHighestPriorityGoesFirstAndEqualsInOrderOfArrival() {
+    void requestsStartInOrderOfPriorityAndThenOfArrival() {
         PendingRequest first = enqueue(1);
         PendingRequest high = enqueue(2);
         PendingRequest second = enqueue(1);
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void whatFindsNoCapacityStaysQueued() {
+    void aRequestWithoutAnEndpointWithCapacityStaysQueued() {
         PendingRequest first = enqueue(1);
         PendingRequest second = enqueue(1);
         capacity = 1;
@@ -94,75 +94,75 @@
     }
 
     @Test
-    void theSearchEndsWithTheFirstRequestWithoutCapacity() {
+    void theSearchStopsAtTheFirstRequestWithoutAnEndpoint() {
         PendingRequest first = enqueue(1);
         enqueue(1);
         enqueue(1);
         dispatch(NOW_US);
-        assertEquals(List.of(first), lookedFor);
+        assertEquals(List.of(first), selectionCalls);
     }
 
     @Test
-    void aNonIdempotentRequestWithoutCapacityEndsTheSearchForItsKindOnly() {
+    void aNonIdempotentRequestWithoutAnEndpointStopsTheSearchForNonIdempotentRequestsOnly() {
         PendingRequest nonIdempotent = enqueue(PolicyTestObjects.NON_IDEMPOTENT, null, 1);
         enqueue(PolicyTestObjects.NON_IDEMPOTENT, null, 1);
         PendingRequest idempotent = enqueue(1);
         dispatch(NOW_US);
-        assertEquals(List.of(nonIdempotent, idempotent), lookedFor);
+        assertEquals(List.of(nonIdempotent, idempotent), selectionCalls);
     }
 
     @Test
-    void aRequestOverQuotaWithoutCapacityEndsTheSearchForItsKindOnly() {
+    void aRequestOverQuotaWithoutAnEndpointStopsTheSearchForRequestsOverQuotaOnly() {
         PendingRequest overQuota = enqueue(3);
         overQuota.setOverQuota();
         enqueue(2).setOverQuota();
         PendingRequest withinQuota = enqueue(1);
         dispatch(NOW_US);
-        assertEquals(List.of(overQuota, withinQuota), lookedFor);
+        assertEquals(List.of(overQuota, withinQuota), selectionCalls);
     }
 
     @Test
-    void requestsWithKeysAreLookedForAsOftenAsTheCallerAllows() {
+    void theSearchStopsAfterTheMaximumOfFailedPicksByKey() {
         settings.endpointsCacheKeys = true;
         for (int i = 0; i < 10; i++) {
             enqueue(PolicyTestObjects.IDEMPOTENT, "key-" + i, 1);
         }
         dispatch(NOW_US);
-        assertEquals(KEYED_PICKS, lookedFor.size());
+        assertEquals(MAX_FAILED_KEYED_PICKS, selectionCalls.size());
     }
 
     @Test
-    void aRequestEndsOnceItMissesItsObjectiveIfLateResponsesEarnNothing() {
+    void aLateRequestIsRejectedIfLateResponsesHaveNoWeight() {
         PendingRequest request = enqueue(1);
         dispatch(NOW_US + 200_000);
-        assertEquals(List.of(), ended);
+        assertEquals(List.of(), rejectedOrFailed);
         dispatch(NOW_US + 200_001);
-        assertEquals(List.of(request), ended);
+        assertEquals(List.of(request), rejectedOrFailed);
         assertTrue(queue.isEmpty());
     }
 
     @Test
-    void aRequestIsLateOnceTwiceTheMeanLatencyDoesNotFit() {
+    void aRequestIsLateOnceLessThanTwiceTheMeanLatencyIsLeft() {
         latencies.record(0, 30_000);
         enqueue(1);
         dispatch(NOW_US + 140_000);
-        assertEquals(0, ended.size());
+        assertEquals(0, rejectedOrFailed.size());
         dispatch(NOW_US + 140_001);
-        assertEquals(1, ended.size());
+        assertEquals(1, rejectedOrFailed.size());
     }
 
     @Test
-    void someRequestsMayWaitHoweverLongTheMeanLatencyIs() {
+    void aRequestMayWaitForAFifthOfItsObjectiveHoweverHighTheMeanLatencyIs() {
         latencies.record(0, 5_000_000);
         enqueue(1);
         dispatch(NOW_US + 40_000);
-        assertEquals(0, ended.size());
+        assertEquals(0, rejectedOrFailed.size());
         dispatch(NOW_US + 40_001);
-        assertEquals(1, ended.size());
+        assertEquals(1, rejectedOrFailed.size());
     }
 
     @Test
-    void aLateRequestFallsBehindThoseOfHigherPriority() {
+    void aLateRequestIsMovedBehindThoseOfHigherPriority() {
         PolicyTestObjects.setLatePriorityWeight(settings, PolicyTestObjects.IDEMPOTENT, 0.25);
         PolicyTestObjects.setLatePriorityWeight(settings, PolicyTestObjects.NON_IDEMPOTENT, 1);
         PendingRequest late = enqueue(2);
@@ -175,31 +175,31 @@
     }
 
     @Test
-    void aRequestEndsInTimeForItsResponseBeforeTheDeadline() {
+    void aRequestExpiresEarlyEnoughToRespondBeforeTheDeadline() {
         PolicyTestObjects.setLatePriorityWeight(settings, PolicyTestObjects.IDEMPOTENT, 0.5);
         PendingRequest request = enqueue(1);
-        // An eighth of its second is less than the suspension that is allowed for.
+        // The margin is an eighth of the request's one second, which is less than the maximum suspension.
         dispatch(request.deadlineAtUs() - 125_001);
-        assertEquals(List.of(), ended);
+        assertEquals(List.of(), rejectedOrFailed);
         dispatch(request.deadlineAtUs() - 125_000);
-        assertEquals(List.of(request), ended);
+        assertEquals(List.of(request), rejectedOrFailed);
     }
 
     @Test
-    void aRequestEndsWhenNoRetryIsPermitted() {
+    void aRequestIsRejectedIfNoRetryIsPermitted() {
         PendingRequest request = enqueue(1);
         mayRetry = false;
         dispatch(NOW_US);
-        assertEquals(List.of(request), ended);
+        assertEquals(List.of(request), rejectedOrFailed);
     }
 
     @Test
-    void aRequestFinishedMeanwhileIsDropped() {
+    void aFinishedRequestIsRemoved() {
         enqueue(1).finish();
         capacity = 1;
         dispatch(NOW_US);
         assertEquals(List.of(), started);
-        assertEquals(List.of(), ended);
+        assertEquals(List.of(), rejectedOrFailed);
         assertTrue(queue.isEmpty());
     }
 }
--- a/src/test/java/loadbalancer/policy/admission/SlownessThresholdTest.java
+++ b/src/test/java/loadbalancer/policy/admission/SlownessThresholdTest.java
@@ -9,9 +9,9 @@
 import loadbalancer.policy.model.EndpointSharing;
 import loadbalancer.policy.statistics.LatencyStatistics;
 
-/** The latency objective of the request is 200 ms. */
+/** Tests {@link SlownessThreshold} with a latency objective of 200 ms. */
 class SlownessThresholdTest {
-    private static final double ROUNDING_US = 1e-6;
+    private static final double ROUNDING_ERROR_US = 1e-6;
 
     private final LoadBalancerSettings settings = PolicyTestObjects.settings();
     private final LatencyStatistics latencies = new LatencyStatistics(settings.classes.size());
@@ -24,42 +24,42 @@
 
     private void assertSlowAbove(double expectedUs, int sharingInstances) {
         SlownessThreshold threshold = new SlownessThreshold(settings, new EndpointSharing(sharingInstances), latencies);
-        assertEquals(expectedUs, threshold.slowAboveUs(PolicyTestObjects.request(settings, 0, 1)), ROUNDING_US);
+        assertEquals(expectedUs, threshold.slowAboveUs(PolicyTestObjects.request(settings, 0, 1)), ROUNDING_ERROR_US);
     }
 
     @Test
-    void thirtyFivePercentOfTheObjectiveAreTheThresholdWhileTheMeanIsUnknown() {
+    void theThresholdIsThirtyFivePercentOfTheObjectiveWhileTheMeanIsUnknown() {
         recordLatencies(1, 10_000);
         assertSlowAbove(70_000, 1);
         assertSlowAbove(70_000, 24);
     }
 
     @Test
-    void threeTimesTheLeastMeanLatencyIsTheThresholdIfItIsLower() {
+    void theThresholdIsThreeTimesTheLowestMeanLatencyIfThatIsLower() {
         recordLatencies(16, 10_000);
         assertSlowAbove(30_000, 1);
     }
 
     @Test
-    void theObjectiveLimitsTheThreshold() {
+    void theThresholdIsNoHigherThanItsShareOfTheObjective() {
         recordLatencies(16, 30_000);
         assertSlowAbove(70_000, 1);
     }
 
     @Test
-    void sparseInstancesTolerateTwiceTheMultipleOfTheMean() {
+    void theMultipleOfTheMeanIsTwiceAsHighIfManyInstancesShareAnEndpoint() {
         recordLatencies(16, 10_000);
         assertSlowAbove(60_000, 24);
     }
 
     @Test
-    void sparseInstancesTolerateMoreOfTheObjective() {
+    void theShareOfTheObjectiveIsHigherIfManyInstancesShareAnEndpoint() {
         recordLatencies(16, 30_000);
         assertSlowAbove(120_000, 24);
     }
 
     @Test
-    void whereEndpointsCacheKeysOnlyTheObjectiveMatters() {
+    void theThresholdDependsOnTheObjectiveOnlyIfEndpointsCacheKeys() {
         settings.endpointsCacheKeys = true;
         recordLatencies(16, 1_000);
         assertSlowAbove(120_000, 1);
--- a/src/test/java/loadbalancer/policy/admission/TenantQuotasTest.java
+++ b/src/test/java/loadbalancer/policy/admission/TenantQuotasTest.java
@@ -10,7 +10,7 @@
 
 import loadbalancer.policy.Tenant;
 
-/** The token buckets of {@link TenantQuotas}. */
+/** Tests the token buckets of {@link TenantQuotas}. */
 class TenantQuotasTest {
     private static final long NOW_US = 5_000_000;
 
@@ -18,54 +18,54 @@
         return new TenantQuotas(List.of(new Tenant("tenant", quotaPerSecond)), instances);
     }
 
-    /** How many requests of a hundred at once are within the quota. */
-    private static int takeAll(TenantQuotas quotas, long nowUs) {
-        int taken = 0;
+    /** Consumes as much of the quota as a hundred requests at once can, and returns how many are within the quota. */
+    private static int consumeAll(TenantQuotas quotas, long nowUs) {
+        int consumed = 0;
         for (int i = 0; i < 100; i++) {
-            taken += quotas.take(0, nowUs) ? 1 : 0;
+            consumed += quotas.tryConsume(0, nowUs) ? 1 : 0;
         }
-        return taken;
+        return consumed;
     }
 
     @Test
-    void anInstanceHasItsEvenPartOfASecondAtOnce() {
-        assertEquals(20, takeAll(quotas(200, 10), NOW_US));
+    void anInstanceMayUseItsShareOfOneSecondAtOnce() {
+        assertEquals(20, consumeAll(quotas(200, 10), NOW_US));
     }
 
     @Test
     void theQuotaIsRefilledInProportionToTheTime() {
         TenantQuotas quotas = quotas(200, 10);
-        takeAll(quotas, NOW_US);
-        assertFalse(quotas.take(0, NOW_US + 49_000));
-        assertTrue(quotas.take(0, NOW_US + 51_000));
-        assertFalse(quotas.take(0, NOW_US + 51_000));
+        consumeAll(quotas, NOW_US);
+        assertFalse(quotas.tryConsume(0, NOW_US + 49_000));
+        assertTrue(quotas.tryConsume(0, NOW_US + 51_000));
+        assertFalse(quotas.tryConsume(0, NOW_US + 51_000));
     }
 
     @Test
-    void noMoreThanASecondIsSavedUp() {
+    void noMoreThanTheQuotaOfOneSecondAccumulates() {
         TenantQuotas quotas = quotas(200, 10);
-        takeAll(quotas, NOW_US);
-        assertEquals(20, takeAll(quotas, NOW_US + 60_000_000));
+        consumeAll(quotas, NOW_US);
+        assertEquals(20, consumeAll(quotas, NOW_US + 60_000_000));
     }
 
     @Test
     void smallQuotasAllowBurstsOfEight() {
         TenantQuotas quotas = quotas(1, 1);
-        assertEquals(1, takeAll(quotas, NOW_US));
-        assertEquals(8, takeAll(quotas, NOW_US + 60_000_000));
+        assertEquals(1, consumeAll(quotas, NOW_US));
+        assertEquals(8, consumeAll(quotas, NOW_US + 60_000_000));
     }
 
     @Test
-    void requestsWithoutTenantOrQuotaAreUnlimited() {
+    void requestsWithoutTenantOrQuotaAreNotLimited() {
         TenantQuotas quotas = quotas(0, 1);
-        assertEquals(100, takeAll(quotas, NOW_US));
-        assertTrue(quotas.take(-1, NOW_US));
+        assertEquals(100, consumeAll(quotas, NOW_US));
+        assertTrue(quotas.tryConsume(-1, NOW_US));
     }
 
     @Test
     void tenantsHaveSeparateQuotas() {
         TenantQuotas quotas = new TenantQuotas(List.of(new Tenant("first", 10), new Tenant("second", 10)), 1);
-        takeAll(quotas, NOW_US);
-        assertTrue(quotas.take(1, NOW_US));
+        consumeAll(quotas, NOW_US);
+        assertTrue(quotas.tryConsume(1, NOW_US));
     }
 }
--- a/src/test/java/loadbalancer/policy/health/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/policy/health/OutlierDetectorTest.java
@@ -22,12 +22,12 @@
 import loadbalancer.policy.model.EndpointSharing;
 import loadbalancer.policy.model.PendingRequest;
 
-/** Error counts, ejection, probation and restoration by {@link OutlierDetector}. */
+/** Tests error counts, ejection, probation and restoration by {@link OutlierDetector}. */
 class OutlierDetectorTest implements OutlierDetector.Listener {
     private static final long SEED = 3;
     private static final long NOW_US = 10_000_000;
 
-    /** Four, and one more for the failures that these five are themselves among what all endpoints fail in common. */
+    /** The minimum of four, and one more because these failures themselves raise the common failure rate. */
     private static final int FAILURES_TO_EJECT = 5;
 
     private final LoadBalancerSettings settings = PolicyTestObjects.settings();
@@ -40,7 +40,7 @@
     private int errorCountChanges;
 
     @BeforeEach
-    void useAllEndpoints() {
+    void activateAllEndpoints() {
         detector.findEjected(active);
     }
 
@@ -60,9 +60,9 @@
         }
     }
 
-    private void succeed(boolean slow, int times, long nowUs) {
+    private void succeed(boolean isSlow, int times, long nowUs) {
         for (int i = 0; i < times; i++) {
-            detector.onSuccess(endpoint, 0, slow, nowUs);
+            detector.onSuccess(endpoint, 0, isSlow, nowUs);
         }
     }
 
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void forSparseInstancesAQuickSuccessTakesOneErrorOff() {
+    void aQuickSuccessRemovesOneErrorIfManyInstancesShareAnEndpoint() {
         sharing.setInstances(24);
         fail(endpoint, 0, 3);
         succeed(false, 1, NOW_US);
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void forSparseInstancesSlowSuccessesAddUpToEightErrors() {
+    void slowSuccessesAddUpToEightErrorsIfManyInstancesShareAnEndpoint() {
         sharing.setInstances(24);
         succeed(true, 1, NOW_US);
         assertEquals(1, endpoint.errorCount());
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void everyFailureDuringAnEjectionDoublesItUpToFourSeconds() {
+    void everyFailureDuringAnEjectionDoublesItsDurationUpToFourSeconds() {
         fail(endpoint, 0, FAILURES_TO_EJECT + 1);
         assertEquals(500_000, endpoint.health().ejectionUs());
         fail(endpoint, 0, 3);
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void aResetForgetsErrorsAndEjections() {
+    void aResetClearsErrorsAndEjections() {
         fail(endpoint, 0, FAILURES_TO_EJECT);
         detector.resetHistory(endpoint);
         assertEquals(0, endpoint.errorCount());
@@ -187,7 +187,7 @@
     }
 
     @Test
-    void onlyOneProbationAttemptIsInFlight() {
+    void noProbationAttemptIsMadeWhileARequestIsInFlight() {
         fail(endpoint, 0, FAILURES_TO_EJECT);
         endpoint.concurrency().increment();
         assertNull(detector.findForProbation(
@@ -202,7 +202,7 @@
     }
 
     @Test
-    void probationOfANonIdempotentClassComesFourEjectionsLater() {
+    void probationOfANonIdempotentClassIsDelayedByFourEjectionTimes() {
         detector.onSuccess(endpoint, 0, false, NOW_US);
         fail(endpoint, PolicyTestObjects.NON_IDEMPOTENT, FAILURES_TO_EJECT);
         long probationAtUs = endpoint.healthOf(PolicyTestObjects.NON_IDEMPOTENT).probationAtUs() + 4 * 250_000;
--- a/src/test/java/loadbalancer/policy/health/SlowStartIntervalTest.java
+++ b/src/test/java/loadbalancer/policy/health/SlowStartIntervalTest.java
@@ -15,13 +15,13 @@
 import loadbalancer.policy.statistics.ServiceRate;
 
 /**
- * {@link SlowStart} by itself, half-way through: of capacity shares from 0.2 to 1 the endpoint then has 0.6, and of an
- * overload factor of 3 all is spent where quotas are known.
+ * Tests the intervals between attempts halfway through the {@link SlowStart} of an endpoint. The capacity share, which
+ * grows from 0.2 to 1, is then 0.6. The overload factor is 3, and all of it is used if there are quotas.
  */
 class SlowStartIntervalTest {
     private static final long SEED = 5;
     private static final long STARTED_AT_US = 100_000_000;
-    private static final long HALF_WAY_US = STARTED_AT_US + 10_000_000;
+    private static final long HALFWAY_US = STARTED_AT_US + 10_000_000;
 
     private final LoadBalancerSettings settings = PolicyTestObjects.settings();
     private final ServiceRate serviceRate = new ServiceRate();
@@ -38,22 +38,24 @@
         return slowStart;
     }
 
-    /** Expects that attempts half-way through slow start are at least so far apart. */
+    /**
+     * Asserts that halfway through slow start an attempt is allowed at this interval after the last one, not before.
+     */
     private void assertInterval(long intervalUs, SlowStart slowStart) {
-        endpoint.setLastAttemptAtUs(HALF_WAY_US - intervalUs);
-        assertTrue(slowStart.allows(endpoint, HALF_WAY_US));
-        endpoint.setLastAttemptAtUs(HALF_WAY_US - intervalUs + 1);
-        assertFalse(slowStart.allows(endpoint, HALF_WAY_US));
+        endpoint.setLastAttemptAtUs(HALFWAY_US - intervalUs);
+        assertTrue(slowStart.allows(endpoint, HALFWAY_US));
+        endpoint.setLastAttemptAtUs(HALFWAY_US - intervalUs + 1);
+        assertFalse(slowStart.allows(endpoint, HALFWAY_US));
     }
 
     @Test
-    void attemptsAreSpacedByTheEvenShareOfTheQuotas() {
-        // An even share of 100 a second is one request in 50 ms for each of five endpoints.
+    void attemptsAreSpacedByTheEndpointsShareOfTheQuotas() {
+        // With 100 requests per second, each of five endpoints gets one request every 50 ms.
         assertInterval(27_777, slowStart(100, 5));
     }
 
     @Test
-    void allInstancesTogetherSpendTheBudget() {
+    void allInstancesShareTheBudget() {
         settings.instances = 4;
         assertInterval(111_111, slowStart(100, 5));
     }
@@ -65,21 +67,21 @@
     }
 
     @Test
-    void withoutQuotasHalfOfTheOverloadFactorIsSpentOnTheServedRate() {
-        serviceRate.onAttemptStarted(HALF_WAY_US);
-        // One response in 50 ms is assumed, which five endpoints share.
+    void withoutQuotasHalfOfTheOverloadFactorAppliesToTheServiceRate() {
+        serviceRate.onAttemptStarted(HALFWAY_US);
+        // Before the first response, one response of any of the five endpoints is assumed every 50 ms.
         assertInterval(277_777, slowStart(0, 5));
     }
 
     @Test
-    void theEvenShareStaysWhenEndpointsAreRemoved() {
+    void theShareOfAnEndpointDoesNotGrowWhenEndpointsAreRemoved() {
         SlowStart slowStart = slowStart(100, 5);
         slowStart.setActiveEndpoints(2);
         assertInterval(27_777, slowStart);
     }
 
     @Test
-    void slowStartEndsAfterTheTimeOfTheSettings() {
+    void slowStartEndsAfterTheConfiguredTime() {
         SlowStart slowStart = slowStart(100, 5);
         long endUs = STARTED_AT_US + settings.slowStartUs;
         assertTrue(slowStart.isWarmingUp(endpoint, endUs - 1));
@@ -95,19 +97,19 @@
     }
 
     @Test
-    void theFirstAttemptIsSpreadOverOneInterval() {
+    void theFirstAttemptIsSpreadOverOneIntervalOnce() {
         SlowStart slowStart = slowStart(100, 5);
-        slowStart.spreadFirstAttempt(endpoint, HALF_WAY_US);
-        double part = new SplittableRandom(SEED).nextDouble();
-        assertEquals(HALF_WAY_US - (long) (part * 27_777), endpoint.lastAttemptAtUs());
-        slowStart.spreadFirstAttempt(endpoint, HALF_WAY_US + 1_000);
-        assertEquals(HALF_WAY_US - (long) (part * 27_777), endpoint.lastAttemptAtUs());
+        slowStart.spreadFirstAttempt(endpoint, HALFWAY_US);
+        double randomFraction = new SplittableRandom(SEED).nextDouble();
+        assertEquals(HALFWAY_US - (long) (randomFraction * 27_777), endpoint.lastAttemptAtUs());
+        slowStart.spreadFirstAttempt(endpoint, HALFWAY_US + 1_000);
+        assertEquals(HALFWAY_US - (long) (randomFraction * 27_777), endpoint.lastAttemptAtUs());
     }
 
     @Test
-    void attemptsAtOtherEndpointsAreNotSpread() {
+    void firstAttemptsAtEndpointsThatAreNotWarmingUpAreNotSpread() {
         endpoint.startIncarnation(0, 0);
-        slowStart(100, 5).spreadFirstAttempt(endpoint, HALF_WAY_US);
+        slowStart(100, 5).spreadFirstAttempt(endpoint, HALFWAY_US);
         assertEquals(0, endpoint.lastAttemptAtUs());
     }
 }
--- a/src/test/java/loadbalancer/policy/health/UnresponsiveAttemptDetectorTest.java
+++ b/src/test/java/loadbalancer/policy/health/UnresponsiveAttemptDetectorTest.java
@@ -15,7 +15,7 @@
 import loadbalancer.policy.model.PendingRequest;
 import loadbalancer.policy.statistics.LatencyStatistics;
 
-/** Which attempts {@link UnresponsiveAttemptDetector} reports, and when. */
+/** Tests which attempts {@link UnresponsiveAttemptDetector} reports and when. */
 class UnresponsiveAttemptDetectorTest {
     private static final long START_US = 1_000;
 
@@ -26,7 +26,7 @@
     private final LatencyStatistics latencies = new LatencyStatistics(settings.classes.size());
     private final UnresponsiveAttemptDetector detector = new UnresponsiveAttemptDetector(settings, latencies);
     private final Endpoint endpoint = PolicyTestObjects.endpoint(settings, "a");
-    private final List<Attempt> found = new ArrayList<>();
+    private final List<Attempt> reported = new ArrayList<>();
 
     private void recordLatencies(int classIndex, long latencyUs) {
         for (int i = 0; i < 32; i++) {
@@ -41,7 +41,7 @@
     }
 
     private void detect(long nowUs) {
-        detector.detect((request, attempt, atUs) -> found.add(attempt), nowUs);
+        detector.detect((request, attempt, atUs) -> reported.add(attempt), nowUs);
     }
 
     @Test
@@ -49,9 +49,9 @@
         recordLatencies(0, 10_000);
         PendingRequest request = watchedRequest(0, START_US);
         detect(UNRESPONSIVE_AT_US - 1);
-        assertEquals(List.of(), found);
+        assertEquals(List.of(), reported);
         detect(UNRESPONSIVE_AT_US);
-        assertEquals(List.of(request.attempt(0)), found);
+        assertEquals(List.of(request.attempt(0)), reported);
     }
 
     @Test
@@ -60,14 +60,14 @@
         watchedRequest(0, START_US);
         detect(UNRESPONSIVE_AT_US);
         detect(UNRESPONSIVE_AT_US + 1_000_000);
-        assertEquals(1, found.size());
+        assertEquals(1, reported.size());
     }
 
     @Test
     void noAttemptIsUnresponsiveWhileTheMeanLatencyIsUnknown() {
         watchedRequest(0, START_US);
         detect(START_US + 3_600_000_000L);
-        assertEquals(List.of(), found);
+        assertEquals(List.of(), reported);
     }
 
     @Test
@@ -77,7 +77,7 @@
         ended.endAttempt(ended.attempt(0), AttemptResult.OK);
         PendingRequest inFlight = watchedRequest(0, START_US);
         detect(UNRESPONSIVE_AT_US);
-        assertEquals(List.of(inFlight.attempt(0)), found);
+        assertEquals(List.of(inFlight.attempt(0)), reported);
     }
 
     @Test
@@ -85,7 +85,7 @@
         recordLatencies(0, 10_000);
         watchedRequest(0, START_US).finish();
         detect(UNRESPONSIVE_AT_US);
-        assertEquals(List.of(), found);
+        assertEquals(List.of(), reported);
     }
 
     @Test
@@ -95,7 +95,7 @@
         watchedRequest(1, START_US);
         PendingRequest quick = watchedRequest(0, START_US);
         detect(UNRESPONSIVE_AT_US);
-        assertEquals(List.of(quick.attempt(0)), found);
+        assertEquals(List.of(quick.attempt(0)), reported);
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/selection/EndpointPickerTest.java
+++ b/src/test/java/loadbalancer/policy/selection/EndpointPickerTest.java
@@ -19,7 +19,7 @@
 import loadbalancer.policy.model.Endpoint;
 import loadbalancer.policy.model.PendingRequest;
 
-/** Picks at random, in list order, by zone and by key of {@link EndpointPicker}. */
+/** Tests the picks of {@link EndpointPicker}: at random, in list order, by zone and by key. */
 class EndpointPickerTest {
     private static final long NOW_US = 1_000;
 
@@ -46,13 +46,13 @@
     }
 
     @Test
-    void withoutEndpointsNothingIsPicked() {
+    void nothingIsPickedWithoutEndpoints() {
         assertNull(picker(new Endpoint[0], 1).pick(request(), NOW_US));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void ofTwoEndpointsTheOneWithFewerRequestsInFlightIsPicked(long seed) {
+    void theEndpointWithFewerRequestsInFlightIsPicked(long seed) {
         Endpoint[] active = endpoints(2);
         active[0].concurrency().increment();
         assertSame(active[1], picker(active, seed).pick(request(), NOW_US));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aRetryGoesToTheNextEndpointInListOrderThatWasNotTried() {
+    void aRetryPicksTheNextUntriedEndpointInListOrder() {
         Endpoint[] active = endpoints(4);
         EndpointPicker picker = picker(active, 1);
         PendingRequest request = request();
@@ -85,14 +85,14 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void localEndpointsArePickedWhereCrossingZonesHasACost(long seed) {
+    void localEndpointsArePickedIfCrossingZonesHasACost(long seed) {
         settings.crossZoneCost = 0.1;
         Endpoint[] active = endpointsInZones(0, 1, 1, 1);
         assertSame(active[0], picker(active, seed).pick(request(), NOW_US));
     }
 
     @Test
-    void aRemoteEndpointWithTwoRequestsLessInFlightIsPicked() {
+    void aRemoteEndpointWithTwoFewerRequestsInFlightIsPicked() {
         settings.crossZoneCost = 0.1;
         Endpoint[] active = endpointsInZones(0, 1);
         active[0].concurrency().increment();
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void theSecondPickOfAKeyIsTakenWhileTheFirstHasMoreRequestsInFlight() {
+    void theSecondPickOfAKeyIsUsedWhileTheFirstHasMoreRequestsInFlight() {
         settings.endpointsCacheKeys = true;
         Endpoint[] active = endpoints(10);
         EndpointPicker picker = picker(active, 1);
--- a/src/test/java/loadbalancer/policy/selection/EndpointSubsetTest.java
+++ b/src/test/java/loadbalancer/policy/selection/EndpointSubsetTest.java
@@ -13,7 +13,7 @@
 import loadbalancer.policy.model.Endpoint;
 import loadbalancer.policy.model.EndpointSharing;
 
-/** Size, order and zones of the subsets of {@link EndpointSubset}. */
+/** Tests the size, order and zones of the subsets that {@link EndpointSubset} selects. */
 class EndpointSubsetTest {
     private final LoadBalancerSettings settings = PolicyTestObjects.settings();
     private final EndpointSharing sharing = new EndpointSharing(1);
@@ -24,7 +24,7 @@
         return new EndpointSubset(settings, sharing).of(ready);
     }
 
-    private Endpoint[] inTwoZones(int count) {
+    private Endpoint[] endpointsInTwoZones(int count) {
         Endpoint[] endpoints = new Endpoint[count];
         for (int i = 0; i < count; i++) {
             endpoints[i] = PolicyTestObjects.endpoint(settings, "e" + i, i % 2, 0);
@@ -62,24 +62,25 @@
     }
 
     @Test
-    void aSubsetHasFourEndpointsIfNotTooManyInstancesShareThemAndTwoElse() {
+    void aSubsetHasFourEndpointsUnlessTooManyInstancesWouldShareThem() {
         Endpoint[] ready = PolicyTestObjects.activeEndpoints(settings, 40);
-        // An even share would be two, of which a subset may have twice as many up to four.
+        // With 24 instances per endpoint a subset would have two endpoints. The minimum of four applies only if no
+        // more than 48 instances share an endpoint then.
         assertEquals(4, subset(480, 3, ready).length);
         assertEquals(2, subset(480, 3, Arrays.copyOf(ready, 8)).length);
         assertEquals(1, subset(480, 3, Arrays.copyOf(ready, 1)).length);
     }
 
     @Test
-    void withoutEndpointsTheSubsetIsEmpty() {
+    void theSubsetIsEmptyWithoutEndpoints() {
         assertEquals(0, subset(240, 3, new Endpoint[0]).length);
         assertEquals(1, sharing.instances());
     }
 
     @Test
-    void whereCrossingZonesHasACostLocalEndpointsAreTheLargerPart() {
+    void mostOfTheSubsetIsLocalIfCrossingZonesHasACost() {
         settings.crossZoneCost = 0.1;
-        Endpoint[] subset = subset(240, 3, inTwoZones(80));
+        Endpoint[] subset = subset(240, 3, endpointsInTwoZones(80));
         long local =
                 Arrays.stream(subset).filter(endpoint -> endpoint.zone() == 0).count();
         assertEquals(8, local);
--- a/src/test/java/loadbalancer/policy/selection/EndpointWeightsTest.java
+++ b/src/test/java/loadbalancer/policy/selection/EndpointWeightsTest.java
@@ -12,7 +12,10 @@
 import loadbalancer.policy.PolicyTestObjects;
 import loadbalancer.policy.model.Endpoint;
 
-/** With at most three errors, an endpoint without any has the weight (1 + 3)^1.5 = 8. */
+/**
+ * Tests {@link EndpointWeights}. If the highest error count is three, an endpoint without errors has the weight
+ * (1 + 3)^1.5 = 8.
+ */
 class EndpointWeightsTest {
     private static final long SEED = 9;
 
@@ -62,11 +65,11 @@
     @Test
     void picksFollowTheWeights() {
         setErrors(3, 0, 3, 0);
-        int[] indexOfDraw = {0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 2, 2, 3, 3, 3, 3, 3, 3, 3, 3};
+        int[] indexByRandomNumber = {0, 0, 1, 1, 1, 1, 1, 1, 1, 1, 2, 2, 3, 3, 3, 3, 3, 3, 3, 3};
         SplittableRandom random = new SplittableRandom(SEED);
         SplittableRandom sameRandom = new SplittableRandom(SEED);
         for (int i = 0; i < 1_000; i++) {
-            assertEquals(indexOfDraw[(int) sameRandom.nextLong(20)], weights.pickIndex(selection, random));
+            assertEquals(indexByRandomNumber[(int) sameRandom.nextLong(20)], weights.pickIndex(selection, random));
         }
     }
 
@@ -83,7 +86,7 @@
     @Test
     void aPickByKeyAcceptsAnEndpointInProportionToItsWeight() {
         setErrors(0, 0, 0, 3);
-        // The weight is a quarter of the highest one; the low 32 bits of the hash decide.
+        // The weight is a quarter of the highest one, so the lowest quarter of the hash's low 32 bits is accepted.
         assertTrue(weights.accepts(endpoints[3], 0xABCD_0000_3FFF_FFFFL));
         assertFalse(weights.accepts(endpoints[3], 0xABCD_0000_4000_0000L));
         assertTrue(weights.accepts(endpoints[0], 0xFFFF_FFFFL));
--- a/src/test/java/loadbalancer/policy/selection/MaglevTableTest.java
+++ b/src/test/java/loadbalancer/policy/selection/MaglevTableTest.java
@@ -18,7 +18,7 @@
 
 import loadbalancer.policy.model.Endpoint;
 
-/** How {@link MaglevTable} distributes its entries. */
+/** Tests how {@link MaglevTable} distributes its entries among endpoints. */
 class MaglevTableTest {
     private static Endpoint[] endpoints(int count) {
         Endpoint[] endpoints = new Endpoint[count];
@@ -34,7 +34,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 10, 50})
-    void endpointsHaveEqualNumbersOfEntries(int count) {
+    void numbersOfEntriesDifferByAtMostOne(int count) {
         Endpoint[] endpoints = endpoints(count);
         Endpoint[] table = MaglevTable.build(endpoints, Endpoint::hash, 101, 1);
         for (Endpoint endpoint : endpoints) {
@@ -54,20 +54,20 @@
     }
 
     @Test
-    void noRowHasAnEndpointTwice() {
+    void noRowContainsAnEndpointTwice() {
         Endpoint[] table = MaglevTable.build(endpoints(10), Endpoint::hash, 101, 4);
-        for (int row = 0; row < table.length; row += 4) {
-            List<Endpoint> entries = Arrays.asList(table).subList(row, Math.min(row + 4, table.length));
+        for (int rowStart = 0; rowStart < table.length; rowStart += 4) {
+            List<Endpoint> entries = Arrays.asList(table).subList(rowStart, Math.min(rowStart + 4, table.length));
             assertEquals(entries.size(), new HashSet<>(entries).size());
         }
     }
 
     @Test
-    void entriesThatNoEndpointMayHaveAreEmpty() {
+    void entriesThatNoEndpointMayClaimAreNull() {
         Endpoint[] endpoints = endpoints(2);
         Endpoint[] table = MaglevTable.build(endpoints, Endpoint::hash, 7, 3);
-        for (int row = 0; row < 6; row += 3) {
-            List<Endpoint> entries = Arrays.asList(table).subList(row, row + 3);
+        for (int rowStart = 0; rowStart < 6; rowStart += 3) {
+            List<Endpoint> entries = Arrays.asList(table).subList(rowStart, rowStart + 3);
             assertEquals(1, entries.stream().filter(Objects::isNull).count());
             assertEquals(
                     Set.of(endpoints),
@@ -77,7 +77,7 @@
 
     @ParameterizedTest
     @CsvSource({"3, 3", "4, 5", "8, 11", "9, 11", "24, 29", "121, 127", "640, 641"})
-    void theNextPrimeIsTheLeastOneFromANumberOn(int from, int prime) {
-        assertEquals(prime, MaglevTable.nextPrime(from));
+    void theNextPrimeIsTheSmallestOneNotBelowTheMinimum(int minimum, int prime) {
+        assertEquals(prime, MaglevTable.nextPrime(minimum));
     }
 }
