--- a/src/main/java/loadbalancer/policy/admission/ConcurrencyLimiter.java
+++ b/src/main/java/loadbalancer/policy/admission/ConcurrencyLimiter.java
@@ -56,7 +56,7 @@
 
     /**
      * Maximum number of requests that an instance may send before a pause has ended if many instances share the
-     * endpoint. Requests arrive in bursts.
+     * endpoint. This allows for bursts of arrivals.
      */
     private static final double MAX_BURST = 2;
 
@@ -254,7 +254,7 @@
         }
     }
 
-    /** Cuts a limit unless the attempt began before the last cut: attempts in flight together cut it only once. */
+    /** Cuts a limit unless the attempt began before the last cut, so that concurrent attempts cut it only once. */
     private void cutLimit(Attempt attempt, double cut, long nowUs) {
         EndpointConcurrency concurrency = attempt.endpoint().concurrency();
         if (attempt.startedAtUs() >= concurrency.limitCutAtUs()) {
--- a/src/main/java/loadbalancer/policy/admission/RequestQueue.java
+++ b/src/main/java/loadbalancer/policy/admission/RequestQueue.java
@@ -24,7 +24,7 @@
     /** Upper bound of that time as a share of the objective, so that requests may wait however high the mean is. */
     private static final double MAX_LATE_OBJECTIVE_SHARE = 0.8;
 
-    /** The longest time for which the process may be suspended between reading its clock and writing. */
+    /** The longest time for which the process may be suspended between reading its clock and writing a response. */
     private static final long MAX_SUSPENSION_US = 150_000;
 
     /**
@@ -59,13 +59,13 @@
 
     /** What one pass over the queue has found out about the capacity of endpoints. */
     private static final class DispatchPass {
-        private int keyedPicksLeft;
+        private int remainingKeyedPicks;
         private boolean noCapacity;
         private boolean noCapacityForNonIdempotent;
         private boolean noCapacityOverQuota;
 
         DispatchPass(int maxFailedKeyedPicks) {
-            keyedPicksLeft = maxFailedKeyedPicks;
+            remainingKeyedPicks = maxFailedKeyedPicks;
         }
     }
 
@@ -102,7 +102,7 @@
      * response.
      *
      * @param maxFailedKeyedPicks the maximum number of requests with key affinity for which endpoint selection may fail
-     *     before it stops
+     *     before this pass stops selecting endpoints
      */
     public void dispatch(int maxFailedKeyedPicks, long nowUs) {
         if (queue.isEmpty()) {
@@ -196,12 +196,12 @@
         pass.noCapacity |= appliesToOthers && (!isNonIdempotent || request.hasKeyAffinity());
     }
 
-    /** Returns whether the search stops after this request, and counts a failed pick by key. */
+    /** Counts a failed selection for a request with key affinity, and returns whether the search stops. */
     private static boolean endsSearch(PendingRequest request, DispatchPass pass) {
         if (!request.hasKeyAffinity()) {
             return true;
         }
-        pass.keyedPicksLeft--;
-        return pass.keyedPicksLeft <= 0;
+        pass.remainingKeyedPicks--;
+        return pass.remainingKeyedPicks <= 0;
     }
 }
--- a/src/main/java/loadbalancer/policy/health/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/health/OutlierDetector.java
@@ -22,7 +22,7 @@
  * the count. An endpoint with too many failures among its recent results is ejected, either for all request classes or
  * for one. An ejected endpoint gets only single probation attempts for these requests, and each failure increases the
  * time to the next probation attempt. At most half of the active endpoints are ejected: if more fail, the endpoints are
- * not the cause, and only the weights are used. Each class also has its own results, since the successes of one class
+ * not the cause, and only the weights are used. Each class is also judged separately, since the successes of one class
  * would hide the failures of another.
  */
 public final class OutlierDetector {
@@ -46,7 +46,8 @@
 
     /** Mean time from the first ejection to the first probation attempt. */
     private static final long FIRST_EJECTION_US = 250_000;
-    /** Upper bound of the mean time, which doubles with each failure during an ejection. */
+
+    /** Upper bound of the mean time to a probation attempt. This time doubles with each failure during an ejection. */
     private static final long MAX_EJECTION_US = 4_000_000;
 
     /**
--- a/src/main/java/loadbalancer/policy/health/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/health/SlowStart.java
@@ -12,10 +12,10 @@
  * overload factor of the settings.
  *
  * <p>An endpoint's full capacity is estimated as its even share of all tenants' quotas or, without quotas, of the rate
- * of this instance's successful responses. This estimate times the minimum share of its full capacity that a warming
- * endpoint has is its current capacity. All instances together may send the overload factor times the current capacity;
- * each instance uses its part of this budget, evenly spaced. The arrival rate is not used to estimate capacity, since
- * clients' retries multiply arrivals under overload.
+ * of this instance's successful responses. While the endpoint warms up, its current capacity is taken to be the minimum
+ * share of this estimate that it has at that time. All instances together may send the overload factor times the
+ * current capacity; each instance sends its part of these attempts, evenly spaced. The arrival rate is not used to
+ * estimate capacity, since clients' retries multiply arrivals under overload.
  */
 public final class SlowStart {
     /**
@@ -37,7 +37,7 @@
     private final SplittableRandom random;
     private final double quotaPerSecond;
     private int activeEndpoints;
-    /** The largest number of endpoints used so far: an endpoint's share of the quotas must not grow with removals. */
+    /** The largest number of endpoints used so far, so that removals do not raise an endpoint's share of the quotas. */
     private int maxActiveEndpoints;
 
     /** Creates the slow start of an instance; {@code serviceRate} is the rate of its successful responses. */
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Returns the time between two attempts of this instance at one endpoint, in microseconds, if all instances and
-     * endpoints had even shares.
+     * Returns the time between two attempts of this instance at one endpoint, in microseconds, if the load at full
+     * capacity were divided evenly among instances and endpoints.
      */
     private double evenIntervalUs(long nowUs) {
         return quotaPerSecond > 0
--- a/src/main/java/loadbalancer/policy/selection/EndpointPicker.java
+++ b/src/main/java/loadbalancer/policy/selection/EndpointPicker.java
@@ -72,7 +72,7 @@
     }
 
     /**
-     * Picks an endpoint for a request without attempts in flight, or null if none is permitted.
+     * Picks an endpoint for a request without attempts in flight. Returns null if no permitted endpoint is found.
      *
      * <p>If crossing zones has a cost and the request has no key affinity, a local endpoint is picked first and
      * returned if it has few requests in flight and no errors. Otherwise an endpoint is also picked from all zones. The
@@ -132,6 +132,7 @@
         return null;
     }
 
+    /** Returns the first permitted endpoint among the picks that the request's key determines, or null. */
     private Endpoint pickByKey(
             PendingRequest request, EndpointSelection selection, Endpoint excluded, boolean excludeTried, long nowUs) {
         Endpoint[] table = selection.keyTable();
@@ -147,9 +148,9 @@
     }
 
     /**
-     * Picks an endpoint that was not tried yet for a retry or a hedge, or returns null if none is permitted. The pick
-     * follows the key if the request has key affinity and is known not to have been executed; otherwise it is the next
-     * endpoint in list order after {@code failed}.
+     * Picks an endpoint that the request has not tried yet, for a retry or a hedge. Returns null if no permitted
+     * endpoint is found. The endpoint is picked by key if the request has key affinity and is known not to have been
+     * executed. Otherwise the next permitted endpoint after {@code failed} in list order is returned.
      */
     public Endpoint pickForRetry(PendingRequest request, Endpoint failed, long nowUs) {
         if (request.hasKeyAffinity() && request.firstPossiblyExecuted() == null) {
--- a/src/main/java/loadbalancer/policy/selection/EndpointSelection.java
+++ b/src/main/java/loadbalancer/policy/selection/EndpointSelection.java
@@ -5,10 +5,10 @@
 /** A set of endpoints to pick from, with their cumulative weights and a lookup table for picks by key. */
 final class EndpointSelection {
     /**
-     * Table entries per endpoint if the number of endpoints is a power of two; otherwise there are fewer, but more than
-     * half as many. The endpoints' shares of the keys then differ by some percent.
+     * Approximate number of table entries per endpoint if the number of endpoints is a power of two; otherwise there
+     * are fewer, but more than half as many. The endpoints' shares of the keys then differ by some percent.
      */
-    private static final int MAX_TABLE_ENTRIES_PER_ENDPOINT = 16;
+    private static final int TABLE_ENTRIES_PER_ENDPOINT = 16;
 
     private static final Endpoint[] NO_ENDPOINTS = {};
 
@@ -29,7 +29,7 @@
      * number of endpoints, because a change of the size moves all keys.
      */
     private static Endpoint[] buildKeyTable(Endpoint[] endpoints) {
-        int size = MaglevTable.nextPrime(MAX_TABLE_ENTRIES_PER_ENDPOINT * Integer.highestOneBit(endpoints.length));
+        int size = MaglevTable.nextPrime(TABLE_ENTRIES_PER_ENDPOINT * Integer.highestOneBit(endpoints.length));
         return MaglevTable.build(endpoints, Endpoint::hash, size, 1);
     }
 
