--- a/src/main/java/loadbalancer/policy/health/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/health/OutlierDetector.java
@@ -275,8 +275,7 @@
             return !overallHealth.isEjected()
                     && classHealth.isEjected()
                     && nowUs
-                            >= classHealth.probationAtUs()
-                                    + NON_IDEMPOTENT_PROBATION_FACTOR * classHealth.ejectionUs();
+                            >= classHealth.probationAtUs() + NON_IDEMPOTENT_PROBATION_FACTOR * classHealth.ejectionUs();
         }
         return (overallHealth.isEjected() && nowUs >= overallHealth.probationAtUs())
                 || (classHealth.isEjected() && nowUs >= classHealth.probationAtUs());
--- a/src/main/java/loadbalancer/policy/selection/EndpointPicker.java
+++ b/src/main/java/loadbalancer/policy/selection/EndpointPicker.java
@@ -109,7 +109,8 @@
         if (second == null) {
             return first;
         }
-        int inFlightDifference = first.concurrency().inFlight() - second.concurrency().inFlight();
+        int inFlightDifference =
+                first.concurrency().inFlight() - second.concurrency().inFlight();
         if (inFlightDifference != 0) {
             return inFlightDifference < 0 ? first : second;
         }
--- a/src/main/java/loadbalancer/policy/selection/MaglevTable.java
+++ b/src/main/java/loadbalancer/policy/selection/MaglevTable.java
@@ -46,7 +46,8 @@
     private static <T> boolean claim(T[] table, T endpoint, int entry, int rowSize) {
         int rowStart = entry - entry % rowSize;
         int rowEnd = Math.min(rowStart + rowSize, table.length);
-        if (table[entry] != null || Arrays.asList(table).subList(rowStart, rowEnd).contains(endpoint)) {
+        if (table[entry] != null
+                || Arrays.asList(table).subList(rowStart, rowEnd).contains(endpoint)) {
             return false;
         }
         table[entry] = endpoint;
