--- a/src/main/java/loadbalancer/policy/AttemptDispatcher.java
+++ b/src/main/java/loadbalancer/policy/AttemptDispatcher.java
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public Endpoint selectFirstEndpoint(PendingRequest request, long nowUs) {
+    public Endpoint selectEndpoint(PendingRequest request, long nowUs) {
         return selector.selectFirstEndpoint(request, nowUs);
     }
 
--- a/src/main/java/loadbalancer/policy/admission/RequestQueue.java
+++ b/src/main/java/loadbalancer/policy/admission/RequestQueue.java
@@ -48,7 +48,7 @@
         boolean mayRetry(PendingRequest request, long nowUs);
 
         /** Selects an endpoint for the next attempt of a request without attempts in flight; null if there is none. */
-        Endpoint selectFirstEndpoint(PendingRequest request, long nowUs);
+        Endpoint selectEndpoint(PendingRequest request, long nowUs);
 
         /** Starts an attempt of a request that has left the queue. */
         void startAttempt(PendingRequest request, Endpoint endpoint, long nowUs);
@@ -171,7 +171,7 @@
         boolean isKnownWithoutCapacity = pass.noCapacity
                 || (isNonIdempotent && pass.noCapacityForNonIdempotent)
                 || (request.isOverQuota() && pass.noCapacityOverQuota);
-        Endpoint endpoint = isKnownWithoutCapacity ? null : dispatcher.selectFirstEndpoint(request, nowUs);
+        Endpoint endpoint = isKnownWithoutCapacity ? null : dispatcher.selectEndpoint(request, nowUs);
         if (endpoint != null) {
             request.dequeue();
             dispatcher.startAttempt(request, endpoint, nowUs);
--- a/src/test/java/loadbalancer/policy/admission/RequestQueueTest.java
+++ b/src/test/java/loadbalancer/policy/admission/RequestQueueTest.java
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public Endpoint selectFirstEndpoint(PendingRequest request, long nowUs) {
+    public Endpoint selectEndpoint(PendingRequest request, long nowUs) {
         selectionCalls.add(request);
         return capacity > 0 ? endpoint : null;
     }
