--- a/src/main/java/loadbalancer/policy/ActiveEndpoints.java
+++ b/src/main/java/loadbalancer/policy/ActiveEndpoints.java
@@ -80,6 +80,6 @@
     public void onEjectionsChanged() {
         picker.markWeightsStale();
         limiter.sumUp(active);
-        outlierDetector.findEjected(active);
+        outlierDetector.refreshEjectedEndpoints(active);
     }
 }
--- a/src/main/java/loadbalancer/policy/EndpointSelector.java
+++ b/src/main/java/loadbalancer/policy/EndpointSelector.java
@@ -50,8 +50,8 @@
 
     /** An endpoint for a request without attempts in flight, or null. */
     Endpoint selectFirstEndpoint(PendingRequest request, long nowUs) {
-        if (outlierDetector.hasEjected()) {
-            Endpoint probation = outlierDetector.findForProbation(
+        if (outlierDetector.hasEjectedEndpoints()) {
+            Endpoint probation = outlierDetector.findProbationEndpoint(
                     request, endpoint -> filter.isPermitted(request, endpoint, nowUs), nowUs);
             if (probation != null) {
                 return probation;
--- a/src/main/java/loadbalancer/policy/health/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/health/OutlierDetector.java
@@ -101,7 +101,7 @@
     }
 
     /** Sets the active endpoints and determines which of them are ejected. */
-    public void findEjected(Endpoint[] active) {
+    public void refreshEjectedEndpoints(Endpoint[] active) {
         activeEndpoints = active.length;
         ejected.clear();
         for (Endpoint endpoint : active) {
@@ -112,7 +112,7 @@
     }
 
     /** Returns whether any active endpoint is ejected for all classes or for at least one. */
-    public boolean hasEjected() {
+    public boolean hasEjectedEndpoints() {
         return !ejected.isEmpty();
     }
 
@@ -256,7 +256,7 @@
      * Returns the first ejected endpoint that is permitted, due for a probation attempt with {@code request}, and has
      * no requests in flight; null if there is none.
      */
-    public Endpoint findForProbation(PendingRequest request, Predicate<Endpoint> isPermitted, long nowUs) {
+    public Endpoint findProbationEndpoint(PendingRequest request, Predicate<Endpoint> isPermitted, long nowUs) {
         for (Endpoint endpoint : ejected) {
             if (isDueForProbation(endpoint, request, nowUs)
                     && endpoint.concurrency().inFlight() == 0
--- a/src/test/java/loadbalancer/policy/ActiveEndpointsTest.java
+++ b/src/test/java/loadbalancer/policy/ActiveEndpointsTest.java
@@ -66,8 +66,8 @@
     @Test
     void ejectedEndpointsThatAreNoLongerActiveAreForgottenByOutlierDetection() {
         parts.eject(endpoints[0]);
-        assertTrue(parts.outlierDetector.hasEjected());
+        assertTrue(parts.outlierDetector.hasEjectedEndpoints());
         update(endpoints[1], endpoints[2]);
-        assertFalse(parts.outlierDetector.hasEjected());
+        assertFalse(parts.outlierDetector.hasEjectedEndpoints());
     }
 }
--- a/src/test/java/loadbalancer/policy/health/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/policy/health/OutlierDetectorTest.java
@@ -41,7 +41,7 @@
 
     @BeforeEach
     void activateAllEndpoints() {
-        detector.findEjected(active);
+        detector.refreshEjectedEndpoints(active);
     }
 
     @Override
@@ -51,7 +51,7 @@
 
     @Override
     public void onEjectionsChanged() {
-        detector.findEjected(active);
+        detector.refreshEjectedEndpoints(active);
     }
 
     private void fail(Endpoint failing, int classIndex, int times) {
@@ -100,10 +100,10 @@
     void repeatedFailuresEjectAnEndpoint() {
         fail(endpoint, 0, FAILURES_TO_EJECT - 1);
         assertFalse(endpoint.health().isEjected());
-        assertFalse(detector.hasEjected());
+        assertFalse(detector.hasEjectedEndpoints());
         fail(endpoint, 0, 1);
         assertTrue(endpoint.health().isEjected());
-        assertTrue(detector.hasEjected());
+        assertTrue(detector.hasEjectedEndpoints());
         assertEquals(List.of(new EndpointEjected("e0", FAILURES_TO_EJECT, null)), actions.events);
     }
 
@@ -163,7 +163,7 @@
         assertTrue(endpoint.health().isEjected());
         succeed(false, 1, NOW_US + 1_000_000);
         assertFalse(endpoint.isEjectedForAny());
-        assertFalse(detector.hasEjected());
+        assertFalse(detector.hasEjectedEndpoints());
         assertEquals(0, endpoint.errorCount());
         assertEquals(new EndpointRestored("e0", false), actions.events.get(1));
     }
@@ -181,23 +181,23 @@
         fail(endpoint, 0, FAILURES_TO_EJECT);
         PendingRequest request = request(PolicyTestObjects.KEY_DEDUPLICATED_EVERYWHERE);
         long probationAtUs = endpoint.health().probationAtUs();
-        assertNull(detector.findForProbation(request, any -> true, probationAtUs - 1));
-        assertSame(endpoint, detector.findForProbation(request, any -> true, probationAtUs));
-        assertNull(detector.findForProbation(request, any -> false, probationAtUs));
+        assertNull(detector.findProbationEndpoint(request, any -> true, probationAtUs - 1));
+        assertSame(endpoint, detector.findProbationEndpoint(request, any -> true, probationAtUs));
+        assertNull(detector.findProbationEndpoint(request, any -> false, probationAtUs));
     }
 
     @Test
     void noProbationAttemptIsMadeWhileARequestIsInFlight() {
         fail(endpoint, 0, FAILURES_TO_EJECT);
         endpoint.concurrency().increment();
-        assertNull(detector.findForProbation(
+        assertNull(detector.findProbationEndpoint(
                 request(0), any -> true, endpoint.health().probationAtUs()));
     }
 
     @Test
     void nonIdempotentRequestsMakeNoProbationAttemptsAtAnEndpointEjectedForAllClasses() {
         fail(endpoint, PolicyTestObjects.NON_IDEMPOTENT, FAILURES_TO_EJECT);
-        assertNull(detector.findForProbation(
+        assertNull(detector.findProbationEndpoint(
                 request(PolicyTestObjects.NON_IDEMPOTENT), any -> true, NOW_US + 1_000_000_000));
     }
 
@@ -207,7 +207,7 @@
         fail(endpoint, PolicyTestObjects.NON_IDEMPOTENT, FAILURES_TO_EJECT);
         long probationAtUs = endpoint.healthOf(PolicyTestObjects.NON_IDEMPOTENT).probationAtUs() + 4 * 250_000;
         PendingRequest request = request(PolicyTestObjects.NON_IDEMPOTENT);
-        assertNull(detector.findForProbation(request, any -> true, probationAtUs - 1));
-        assertSame(endpoint, detector.findForProbation(request, any -> true, probationAtUs));
+        assertNull(detector.findProbationEndpoint(request, any -> true, probationAtUs - 1));
+        assertSame(endpoint, detector.findProbationEndpoint(request, any -> true, probationAtUs));
     }
 }
