--- a/src/main/java/loadbalancer/policy/ActiveEndpoints.java
+++ b/src/main/java/loadbalancer/policy/ActiveEndpoints.java
@@ -40,7 +40,7 @@
     /** Follows a change of the endpoint list. */
     void update(List<Endpoint> listed, long nowUs) {
         Endpoint[] previous = active;
-        active = subset.of(ready(listed));
+        active = subset.selectFrom(ready(listed));
         limiter.onSharingChanged();
         slowStart.setActiveEndpoints(active.length);
         for (Endpoint endpoint : previous) {
@@ -54,7 +54,7 @@
         for (Endpoint endpoint : previous) {
             closeIfUnused(endpoint);
         }
-        picker.setActive(active);
+        picker.setActiveEndpoints(active);
         onEjectionsChanged();
     }
 
--- a/src/main/java/loadbalancer/policy/selection/EndpointPicker.java
+++ b/src/main/java/loadbalancer/policy/selection/EndpointPicker.java
@@ -52,7 +52,7 @@
     }
 
     /** Sets the endpoints to pick from. */
-    public void setActive(Endpoint[] newActive) {
+    public void setActiveEndpoints(Endpoint[] newActive) {
         active = newActive;
         allEndpoints = new EndpointSelection(newActive, settings.endpointsCacheKeys);
         localEndpoints =
--- a/src/main/java/loadbalancer/policy/selection/EndpointSubset.java
+++ b/src/main/java/loadbalancer/policy/selection/EndpointSubset.java
@@ -50,7 +50,7 @@
      * Returns this instance's subset of the ready endpoints, in list order, and updates how many instances share an
      * endpoint on average.
      */
-    public Endpoint[] of(Endpoint[] ready) {
+    public Endpoint[] selectFrom(Endpoint[] ready) {
         Set<Endpoint> subset = new HashSet<>(selectSubset(ready));
         double instancesPerEndpoint = (double) settings.instances * subset.size() / Math.max(1, ready.length);
         sharing.setInstances(Math.max(1, instancesPerEndpoint));
--- a/src/test/java/loadbalancer/policy/selection/EndpointPickerTest.java
+++ b/src/test/java/loadbalancer/policy/selection/EndpointPickerTest.java
@@ -29,7 +29,7 @@
     private EndpointPicker picker(Endpoint[] active, long seed) {
         EndpointPicker picker = new EndpointPicker(
                 settings, new SplittableRandom(seed), (request, endpoint, nowUs) -> !notPermitted.contains(endpoint));
-        picker.setActive(active);
+        picker.setActiveEndpoints(active);
         return picker;
     }
 
--- a/src/test/java/loadbalancer/policy/selection/EndpointSubsetTest.java
+++ b/src/test/java/loadbalancer/policy/selection/EndpointSubsetTest.java
@@ -21,7 +21,7 @@
     private Endpoint[] subset(int instances, int instanceIndex, Endpoint[] ready) {
         settings.instances = instances;
         settings.instanceIndex = instanceIndex;
-        return new EndpointSubset(settings, sharing).of(ready);
+        return new EndpointSubset(settings, sharing).selectFrom(ready);
     }
 
     private Endpoint[] endpointsInTwoZones(int count) {
@@ -93,10 +93,10 @@
         settings.instances = 240;
         settings.instanceIndex = 3;
         EndpointSubset subset = new EndpointSubset(settings, sharing);
-        Endpoint[] before = subset.of(ready);
+        Endpoint[] before = subset.selectFrom(ready);
         Endpoint[] remaining =
                 Arrays.stream(ready).filter(endpoint -> endpoint != before[0]).toArray(Endpoint[]::new);
-        Endpoint[] after = subset.of(remaining);
+        Endpoint[] after = subset.selectFrom(remaining);
         assertEquals(4, after.length);
         assertTrue(Arrays.stream(after).noneMatch(before[0]::equals));
     }
