--- a/src/main/java/loadbalancer/policy/ActiveEndpoints.java
+++ b/src/main/java/loadbalancer/policy/ActiveEndpoints.java
@@ -79,7 +79,7 @@
     @Override
     public void onEjectionsChanged() {
         picker.markWeightsStale();
-        limiter.sumUp(active);
+        limiter.recomputeTotals(active);
         outlierDetector.refreshEjectedEndpoints(active);
     }
 }
--- a/src/main/java/loadbalancer/policy/admission/ConcurrencyLimiter.java
+++ b/src/main/java/loadbalancer/policy/admission/ConcurrencyLimiter.java
@@ -132,7 +132,7 @@
      * Recomputes the sum of the limits and the requests in flight over the available endpoints. Requests at ejected or
      * removed endpoints do not count, since they must not use up the capacity of the others.
      */
-    public void sumUp(Endpoint[] active) {
+    public void recomputeTotals(Endpoint[] active) {
         activeEndpoints = active.length;
         sumOfLimits = 0;
         inFlight = 0;
--- a/src/test/java/loadbalancer/policy/admission/ConcurrencyLimiterTest.java
+++ b/src/test/java/loadbalancer/policy/admission/ConcurrencyLimiterTest.java
@@ -52,14 +52,14 @@
                 new TimelyResponseRate(),
                 slowStart);
         limiter.initializeLimits(Arrays.asList(active), active);
-        limiter.sumUp(active);
+        limiter.recomputeTotals(active);
     }
 
     private void setLimits(double limit) {
         for (Endpoint endpoint : active) {
             endpoint.concurrency().setLimit(limit);
         }
-        limiter.sumUp(active);
+        limiter.recomputeTotals(active);
     }
 
     private double limit() {
@@ -166,7 +166,7 @@
             start(request(), active[0]);
         }
         active[0].health().eject(1, 1);
-        limiter.sumUp(active);
+        limiter.recomputeTotals(active);
         assertTrue(limiter.hasCapacity(request(), active[1], NOW_US));
     }
 
@@ -201,7 +201,7 @@
         complete(AttemptResult.OK, QUICK_US);
         assertEquals(4, limit());
         active[1].concurrency().setLimit(5);
-        limiter.sumUp(active);
+        limiter.recomputeTotals(active);
         complete(AttemptResult.OK, QUICK_US);
         assertEquals(4.075, limit(), ROUNDING_ERROR);
     }
