--- a/src/main/java/loadbalancer/policy/ActiveEndpoints.java
+++ b/src/main/java/loadbalancer/policy/ActiveEndpoints.java
@@ -42,7 +42,7 @@
         Endpoint[] previous = active;
         active = subset.selectFrom(ready(listed));
         limiter.onSharingChanged();
-        slowStart.setActiveEndpoints(active.length);
+        slowStart.setActiveEndpointCount(active.length);
         for (Endpoint endpoint : previous) {
             endpoint.deactivate();
         }
--- a/src/main/java/loadbalancer/policy/health/SlowStart.java
+++ b/src/main/java/loadbalancer/policy/health/SlowStart.java
@@ -50,7 +50,7 @@
     }
 
     /** Sets the number of endpoints that this instance uses. */
-    public void setActiveEndpoints(int count) {
+    public void setActiveEndpointCount(int count) {
         activeEndpoints = count;
         maxActiveEndpoints = Math.max(maxActiveEndpoints, count);
     }
--- a/src/test/java/loadbalancer/policy/health/SlowStartIntervalTest.java
+++ b/src/test/java/loadbalancer/policy/health/SlowStartIntervalTest.java
@@ -34,7 +34,7 @@
     private SlowStart slowStart(double quotaPerSecond, int activeEndpoints) {
         settings.tenants.set(0, new Tenant("tenant", quotaPerSecond));
         SlowStart slowStart = new SlowStart(settings, serviceRate, new SplittableRandom(SEED));
-        slowStart.setActiveEndpoints(activeEndpoints);
+        slowStart.setActiveEndpointCount(activeEndpoints);
         return slowStart;
     }
 
@@ -76,7 +76,7 @@
     @Test
     void theShareOfAnEndpointDoesNotGrowWhenEndpointsAreRemoved() {
         SlowStart slowStart = slowStart(100, 5);
-        slowStart.setActiveEndpoints(2);
+        slowStart.setActiveEndpointCount(2);
         assertInterval(27_777, slowStart);
     }
 
