--- a/src/main/java/loadbalancer/proxy/downstream/AcceptErrorHandler.java
+++ b/src/main/java/loadbalancer/proxy/downstream/AcceptErrorHandler.java
@@ -8,8 +8,8 @@
 import loadbalancer.proxy.logging.EventLog;
 
 /**
- * Resumes accepting soon after an error, with exponential backoff. Netty's own handler waits for a second, in which
- * requests of clients in the backlog exceed their deadlines.
+ * Resumes accepting connections soon after an error, with exponential backoff. Netty's own handler pauses for one
+ * second, during which requests of clients in the backlog exceed their deadlines.
  */
 final class AcceptErrorHandler extends ChannelInboundHandlerAdapter {
     private static final long INITIAL_BACKOFF_MS = 2;
@@ -25,11 +25,11 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        EventLog.message("accept failed: " + cause);
+        EventLog.message("failed to accept a client connection: " + cause);
         if (!context.channel().config().isAutoRead()) {
             return;
         }
-        // Not at once: a lack of descriptors would keep the event loop busy for as long as it lasts.
+        // While no descriptor is left, every accept fails; retrying without a pause would keep the event loop busy.
         context.channel().config().setAutoRead(false);
         context.channel()
                 .eventLoop()
--- a/src/main/java/loadbalancer/proxy/downstream/BadRequestException.java
+++ b/src/main/java/loadbalancer/proxy/downstream/BadRequestException.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.proxy.protocol.HttpProtocol;
 
-/** A request header that makes a request invalid. The message is written to the client. */
+/** Signals that a request header is missing or invalid. The message is the body of the response to the client. */
 public final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1;
     private static final String METHOD_MISMATCH = "does not go with the method";
@@ -15,8 +15,8 @@
      * Creates an exception with the message "header reason".
      *
      * @param header the name of the header
-     * @param value its value, or null if it is missing
-     * @param reason what is wrong with it
+     * @param value the value of the header, or null if the header is missing
+     * @param reason why the header is invalid
      */
     public BadRequestException(String header, String value, String reason) {
         this(header + " " + reason, header, value, reason);
@@ -29,23 +29,22 @@
         this.reason = reason;
     }
 
-    /** A request class whose idempotency does not permit the method of the request. */
+    /** Creates the exception for a request class whose idempotency does not permit the method of the request. */
     static BadRequestException methodMismatch(String requestClass) {
         return new BadRequestException(
                 "the class " + METHOD_MISMATCH, HttpProtocol.REQUEST_CLASS_HEADER, requestClass, METHOD_MISMATCH);
     }
 
-    /** The name of the header. */
     String header() {
         return header;
     }
 
-    /** The value of the header, or null if it is missing. */
+    /** Returns the value of the header, or null if the header is missing. */
     String value() {
         return value;
     }
 
-    /** What is wrong with the header. */
+    /** Returns why the header is invalid. */
     String reason() {
         return reason;
     }
--- a/src/main/java/loadbalancer/proxy/downstream/ClientChannel.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientChannel.java
@@ -7,17 +7,17 @@
 import io.netty.channel.Channel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 
-/** The socket of a client, with control over what is read from it. */
+/** The socket channel of a client connection, with control over when and what the proxy reads. */
 final class ClientChannel extends NioSocketChannel {
-    private boolean readsEndOnly;
+    private boolean detectsCloseOnly;
 
     ClientChannel(Channel listener, SocketChannel socket) {
         super(listener, socket);
     }
 
     /**
-     * Reads all that has arrived, which may include the connection's end. Must not be called while the channel
-     * is being read.
+     * Reads received bytes immediately, which also detects that the client has closed the connection. Must not be
+     * called while the channel is being read.
      */
     void readNow() {
         if (isActive() && config().isAutoRead()) {
@@ -26,14 +26,14 @@
     }
 
     /**
-     * Reads no further bytes: they stay in the socket's buffer. The connection's end is still detected as long
-     * as no byte precedes it.
+     * Leaves all further bytes in the socket's receive buffer. The channel still detects that the client closes the
+     * connection, unless unread bytes precede the end of the stream.
      */
-    void readEndOnly() {
-        readsEndOnly = true;
+    void detectCloseOnly() {
+        detectsCloseOnly = true;
     }
 
-    /** Whether all bytes that have arrived are read; reads none itself. */
+    /** Returns whether all received bytes have been read, without reading any. */
     boolean hasNoUnreadBytes() {
         return !isActive() || unreadBytes() == 0;
     }
@@ -42,21 +42,21 @@
         try {
             return javaChannel().socket().getInputStream().available();
         } catch (IOException e) {
-            // The connection has failed: no byte of it can be read.
+            // The connection has failed, so no byte can be read from it.
             return 0;
         }
     }
 
     @Override
     protected int doReadBytes(ByteBuf buffer) throws Exception {
-        if (!readsEndOnly) {
+        if (!detectsCloseOnly) {
             return super.doReadBytes(buffer);
         }
         int read = unreadBytes() > 0 ? 1 : buffer.writeBytes(javaChannel(), 1);
         if (read <= 0) {
             return read;
         }
-        // Bytes precede the end. They stay unread, so that it is certain that they had no effect.
+        // The client has sent bytes. They are left unread, so that they certainly have no effect.
         config().setAutoRead(false);
         buffer.clear();
         return 0;
--- a/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
@@ -23,8 +23,8 @@
 import loadbalancer.proxy.resources.ConnectionLimits;
 
 /**
- * A connection of a client. It serves one request at a time, and pipelined requests in their order. After a
- * client error nothing more is read or served, and the connection closes.
+ * A connection of a client. It serves one request at a time, and pipelined requests in order. After an invalid
+ * request, the proxy responds, discards all further bytes and closes the connection.
  */
 public final class ClientConnection extends ChannelInboundHandlerAdapter {
     private static final byte[] EMPTY_BODY = {};
@@ -38,9 +38,9 @@
     private final RequestPipeline pipeline = new RequestPipeline();
 
     private ClientConnectionPhase phase = ClientConnectionPhase.IDLE;
-    /** Since when it is the client's turn: to send a request, or to read the response. */
-    private long clientTurnSinceUs;
-    /** The request that the handler has accepted and not responded to yet, or null. */
+    /** When the proxy began to wait for the client to send a request or to receive the response. */
+    private long waitingForClientSinceUs;
+    /** The request that the handler has accepted and not yet responded to, or null. */
     private ClientRequest openRequest;
 
     ClientConnection(
@@ -54,13 +54,16 @@
         this.parser = parser;
         this.handler = handler;
         this.channel = channel;
-        clientTurnSinceUs = clock.nowUs();
-        reader = new ClientRequestReader(this, channel, clock, clientTurnSinceUs);
+        waitingForClientSinceUs = clock.nowUs();
+        reader = new ClientRequestReader(this, channel, clock, waitingForClientSinceUs);
     }
 
-    /** Adds the handlers of this connection. Netty's server codec would close at 128 pipelined requests. */
+    /**
+     * Adds the handlers of this connection. They replace Netty's HttpServerCodec, which would close a connection with
+     * 128 pipelined requests.
+     */
     void addHandlersTo(ChannelPipeline handlers) {
-        handlers.addLast(reader.inputGate(), reader.decoder(), new HttpResponseEncoder(), this);
+        handlers.addLast(reader.inputFilter(), reader.decoder(), new HttpResponseEncoder(), this);
     }
 
     @Override
@@ -72,24 +75,28 @@
         }
     }
 
-    /** Requests the body of a request whose head has arrived, if it would be served at once. */
+    /**
+     * Handles the head of a request with {@code Expect: 100-continue}: asks for the body if the request would be
+     * served immediately.
+     */
     void onContinueExpected() {
         if (!phase.isServing() && pipeline.isEmpty()) {
             channel.writeAndFlush(ClientResponses.continueResponse());
         }
     }
 
-    /** Adds a request to those to be served; reading pauses while they are too many. */
+    /** Queues a request to be served, and pauses reading while too many are queued. */
     void onRequestReceived(ReceivedRequest request) {
         pipeline.add(request);
         if (!phase.isServing() && pipeline.size() == 1) {
             server.onRequest(this);
-            // Not before all connections are read: clients that have disconnected since would be served. Each
-            // such request takes upstream capacity, and an overloaded proxy would not recover from that.
+            // Requests are served only after the event loop has read all connections. Otherwise, the proxy would
+            // serve clients that have already disconnected. Each of these requests would take upstream capacity,
+            // and an overloaded proxy would not recover.
             channel.eventLoop().execute(this::serveNext);
             return;
         }
-        // Reading goes on up to the limit, as only that shows that the client has disconnected.
+        // Reading continues up to the limit, because the proxy only detects by reading that a client disconnects.
         if (pipeline.isOverLimit()) {
             reader.pause();
         }
@@ -121,7 +128,7 @@
         try {
             String path = ClientRequestParser.path(next.head().uri());
             if (path.equals(HttpProtocol.READINESS_PATH)) {
-                answerReadiness();
+                respondToReadinessCheck();
             } else if (ClientRequestParser.isApiPath(path)) {
                 ClientRequest request = parser.parse(next.head(), next.body());
                 handler.onRequest(this, request, next.arrivedAtUs());
@@ -132,16 +139,16 @@
         } catch (BadRequestException e) {
             reject(HttpResponseStatus.BAD_REQUEST, (e.getMessage() + "\n").getBytes(StandardCharsets.UTF_8));
         } catch (RuntimeException e) {
-            // A defect that one request reveals must not leave the client without a response.
-            EventLog.error("request " + next.head().uri(), e);
+            // An unexpected exception must not leave the client without a response.
+            EventLog.error("failed to serve request " + next.head().uri(), e);
             if (openRequest == null) {
                 answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, EMPTY_BODY, 0);
             }
         }
     }
 
-    /** Responds to the readiness check; while draining the connection closes, as no second check is needed. */
-    private void answerReadiness() {
+    /** Responds to a readiness check. While draining, the response closes the connection: no second check is needed. */
+    private void respondToReadinessCheck() {
         if (server.isDraining()) {
             phase = phase.withoutFurtherRequests();
         }
@@ -149,7 +156,7 @@
         answer(isReady ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, EMPTY_BODY, 0);
     }
 
-    /** Responds to a client error and closes the connection: a client in error tends to repeat it. */
+    /** Responds to an invalid request and closes the connection, because the client is likely to repeat the error. */
     private void reject(HttpResponseStatus error, byte[] reason) {
         phase = phase.withoutFurtherRequests();
         pipeline.clear();
@@ -158,36 +165,39 @@
     }
 
     /**
-     * Sends the one final response to the open request.
+     * Sends the final response to the request that is being served. Must be called once for each request.
      *
-     * @param content the body
-     * @param retryAfterUs the value of Retry-After in microseconds; 0 for none
+     * @param content the body, which may be empty
+     * @param retryAfterUs the time for the Retry-After header in microseconds, or 0 to omit the header
      */
     public void answer(HttpResponseStatus status, byte[] content, long retryAfterUs) {
         openRequest = null;
-        clientTurnSinceUs = clock.nowUs();
+        waitingForClientSinceUs = clock.nowUs();
         FullHttpResponse response = ClientResponses.finalResponse(status, content, retryAfterUs);
         if (server.isClosing()) {
             channel.readNow();
         }
-        // What the client has sent meanwhile gets a response too: the last one closes the connection.
+        // Requests that have arrived before the connection closes get a response; the last response closes it.
         if (!phase.isKeepAlive() || (server.isClosing() && pipeline.isEmpty() && !reader.hasPartialRequest())) {
             phase = phase.withoutFurtherRequests();
-            // Not only once this is written: a request that was read would need a response.
-            reader.readEndOnly();
+            // Reading stops before the response is written, because a request read meanwhile would need a response.
+            reader.detectCloseOnly();
             response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
         channel.writeAndFlush(response).addListener(written -> onResponseWritten(written.isSuccess()));
     }
 
-    /** Serves the next request, only now: a client may send requests and never read a response. */
-    private void onResponseWritten(boolean success) {
+    /**
+     * Serves the next pipelined request or closes the connection. The next request is served only after the response
+     * has been written, because a client may send requests and never read a response.
+     */
+    private void onResponseWritten(boolean isSuccess) {
         phase = phase.onResponseWritten();
-        clientTurnSinceUs = clock.nowUs();
+        waitingForClientSinceUs = clock.nowUs();
         if (pipeline.isEmpty()) {
             server.onResponseWritten(this);
         }
-        if (!success) {
+        if (!isSuccess) {
             close(CloseReason.WRITE_FAILED);
         } else if (!phase.isKeepAlive()) {
             closeGracefully(CloseReason.LAST_RESPONSE_WRITTEN);
@@ -206,54 +216,54 @@
             return;
         }
         if (phase.isServing()) {
-            if (isClientTurnLongerThan(ConnectionLimits.WRITE_TIMEOUT_MS)) {
+            if (hasWaitedForClientLongerThan(ConnectionLimits.WRITE_TIMEOUT_MS)) {
                 close(CloseReason.WRITE_TIMEOUT);
             }
         } else if (hasNoPendingInput()) {
-            closeIfUnused();
+            closeIfIdleTimedOut();
         }
     }
 
-    private void closeIfUnused() {
+    private void closeIfIdleTimedOut() {
         if (reader.hasReceivedRequest()) {
-            if (isClientTurnLongerThan(ConnectionLimits.KEEP_ALIVE_TIMEOUT_MS)) {
+            if (hasWaitedForClientLongerThan(ConnectionLimits.KEEP_ALIVE_TIMEOUT_MS)) {
                 closeGracefully(CloseReason.KEEP_ALIVE_TIMEOUT);
             }
-        } else if (isClientTurnLongerThan(ConnectionLimits.READ_TIMEOUT_MS)) {
+        } else if (hasWaitedForClientLongerThan(ConnectionLimits.READ_TIMEOUT_MS)) {
             close(CloseReason.READ_TIMEOUT);
         }
     }
 
-    /** Whether it has been the client's turn, to send a request or read the response, for longer than this. */
-    boolean isClientTurnLongerThan(long ms) {
-        return clock.nowUs() - clientTurnSinceUs > TimeUnit.MILLISECONDS.toMicros(ms);
+    /** Returns whether the proxy has waited longer than this for the client to send a request or receive a response. */
+    boolean hasWaitedForClientLongerThan(long durationMs) {
+        return clock.nowUs() - waitingForClientSinceUs > TimeUnit.MILLISECONDS.toMicros(durationMs);
     }
 
-    /** Whether the client is connected now. Reads what has arrived, which may include the connection's end. */
+    /** Returns whether the client is still connected, after reading received bytes to detect a disconnect. */
     public boolean isPresent() {
         channel.readNow();
         return channel.isActive();
     }
 
-    /** Whether nothing has arrived since the last complete request. */
+    /** Returns whether no bytes of a further request have arrived since the last complete request. */
     boolean hasNoPendingInput() {
         return !reader.hasPartialRequest() && channel.hasNoUnreadBytes();
     }
 
-    /** Whether a request has arrived in part and no further bytes of it are there. */
+    /** Returns whether a request has arrived in part and there are no unread bytes. */
     boolean hasStalledRequest() {
         return reader.hasPartialRequest() && channel.hasNoUnreadBytes();
     }
 
     /**
-     * Shuts down the output and waits for the client to close. Closed while unread bytes arrive the connection
-     * would be reset, and with it a response in transit. Those bytes stay unread: the client knows that they
-     * had no effect.
+     * Shuts down the output and gives the client time to close the connection. Closing the socket at once would reset
+     * the connection if more bytes arrive, and a response in transit would be lost. Bytes that arrive are left unread,
+     * so that the client knows that they had no effect; after an invalid request they are read and discarded.
      */
     void closeGracefully(CloseReason reason) {
         logClose(reason.toString());
         phase = phase.withoutFurtherRequests();
-        reader.readEndOnly();
+        reader.detectCloseOnly();
         reader.close();
         channel.shutdownOutput();
         channel.eventLoop().schedule((Runnable) channel::close, ConnectionLimits.LINGER_MS, TimeUnit.MILLISECONDS);
@@ -284,7 +294,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            EventLog.error("connection to a client", cause);
+            EventLog.error("unexpected error on a client connection", cause);
         }
         logClose(CloseReason.CONNECTION_FAILED + ": " + cause.getMessage());
         channel.close();
--- a/src/main/java/loadbalancer/proxy/downstream/ClientConnectionPhase.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnectionPhase.java
@@ -1,44 +1,44 @@
 package loadbalancer.proxy.downstream;
 
-/** Whether a client connection serves a request, and whether it serves a further one afterwards. */
+/** The phases of a client connection: whether it serves a request, and whether it will serve further requests. */
 enum ClientConnectionPhase {
-    /** No request is being served; the next one may be. */
+    /** No request is being served, and the next request will be served. */
     IDLE,
     /** A request is being served, and the connection stays open after its response. */
     SERVING,
     /** A request is being served, and the connection closes after its response. */
     SERVING_LAST,
-    /** No request is being served, and none will be. */
+    /** No request is being served, and no further request will be served. */
     CLOSING;
 
-    /** Whether the response to a request has not been written yet. */
+    /** Returns whether a request is being served, which includes writing its response. */
     boolean isServing() {
         return this == SERVING || this == SERVING_LAST;
     }
 
-    /** Whether further requests are served. */
+    /** Returns whether further requests will be served. */
     boolean isKeepAlive() {
         return this == IDLE || this == SERVING;
     }
 
     /**
-     * The phase once the next request is served.
+     * Returns the phase after the connection begins to serve a request.
      *
      * @throws IllegalStateException unless the connection is idle
      */
     ClientConnectionPhase onRequest() {
         if (this != IDLE) {
-            throw new IllegalStateException("a request cannot be served in phase " + this);
+            throw new IllegalStateException("cannot serve a request in connection phase " + this);
         }
         return SERVING;
     }
 
-    /** The phase once the response is written, or its write has failed. */
+    /** Returns the phase after the response has been written or its write has failed. */
     ClientConnectionPhase onResponseWritten() {
         return isKeepAlive() ? IDLE : CLOSING;
     }
 
-    /** The phase once it is known that no further request is served. */
+    /** Returns the phase after the decision to serve no further request. */
     ClientConnectionPhase withoutFurtherRequests() {
         return isServing() ? SERVING_LAST : CLOSING;
     }
--- a/src/main/java/loadbalancer/proxy/downstream/ClientConnectionRegistry.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnectionRegistry.java
@@ -9,50 +9,48 @@
 import loadbalancer.proxy.resources.ConnectionLimits;
 import loadbalancer.proxy.resources.DescriptorBudget;
 
-/** The open connections of clients, and which of them are evicted for others. */
+/** The open client connections. Evicts connections to free descriptors for others. */
 final class ClientConnectionRegistry {
     private final DescriptorBudget descriptors;
-    /** Connections without a request so far, the oldest first. */
+    /** Connections that have not received a request yet, the oldest first. */
     private final Set<ClientConnection> unused = new LinkedHashSet<>();
-    /** Connections with a request whose response is not written. */
+    /** Connections with a received request whose response has not been written. */
     private final Set<ClientConnection> busy = new LinkedHashSet<>();
-    /** All others, the longest idle first. */
+    /** Connections whose received requests all have a response, the longest idle first. */
     private final Set<ClientConnection> idle = new LinkedHashSet<>();
 
     ClientConnectionRegistry(DescriptorBudget descriptors) {
         this.descriptors = descriptors;
     }
 
-    /** Adds a new connection. */
-    void add(ClientConnection client) {
-        unused.add(client);
+    void add(ClientConnection connection) {
+        unused.add(connection);
     }
 
-    /** Notifies that a request has been received on a connection that serves none. */
-    void onRequest(ClientConnection client) {
-        unused.remove(client);
-        idle.remove(client);
-        busy.add(client);
+    /** Marks a connection as busy when it receives a request while it serves none. */
+    void onRequest(ClientConnection connection) {
+        unused.remove(connection);
+        idle.remove(connection);
+        busy.add(connection);
     }
 
-    /** Notifies that the last received request has its response. The number of idle connections is limited. */
-    void onResponseWritten(ClientConnection client) {
-        if (busy.remove(client)) {
-            idle.add(client);
+    /** Marks a connection as idle when all its requests have a response. Evicts one if too many are idle. */
+    void onResponseWritten(ClientConnection connection) {
+        if (busy.remove(connection)) {
+            idle.add(connection);
             if (idle.size() > descriptors.maxIdleClients()) {
                 evictFirst(idle);
             }
         }
     }
 
-    /** Removes a connection. */
-    void onClosed(ClientConnection client) {
-        unused.remove(client);
-        busy.remove(client);
-        idle.remove(client);
+    void onClosed(ClientConnection connection) {
+        unused.remove(connection);
+        busy.remove(connection);
+        idle.remove(connection);
     }
 
-    /** A copy of all connections. */
+    /** Returns a copy, which does not change as connections close. */
     List<ClientConnection> all() {
         List<ClientConnection> all = new ArrayList<>(unused);
         all.addAll(busy);
@@ -60,12 +58,12 @@
         return all;
     }
 
-    /** A copy of the connections that serve no request and on which none has begun to arrive. */
+    /** Returns a copy of the connections that serve no request and have not received a part of one. */
     List<ClientConnection> withoutRequest() {
-        List<ClientConnection> clients = all();
-        clients.removeAll(busy);
-        clients.removeIf(client -> !client.hasNoPendingInput());
-        return clients;
+        List<ClientConnection> connections = all();
+        connections.removeAll(busy);
+        connections.removeIf(connection -> !connection.hasNoPendingInput());
+        return connections;
     }
 
     int size() {
@@ -73,29 +71,31 @@
     }
 
     /**
-     * Evicts the oldest unused connection unless it is new, else the longest idle. Where most connections are
-     * unused, new ones are evicted too: a flood of them must not evict the connections of regular clients.
+     * Closes one connection to free its descriptor: the oldest unused connection if its grace period is over, else the
+     * longest idle connection, else the oldest unused connection if its first request has stalled. While most
+     * connections are unused, the grace period is ignored, so that a flood of new connections does not evict the
+     * connections of regular clients.
      *
-     * @return false if all connections are in use
+     * @return false if no connection can be evicted
      */
     boolean evictOne() {
         if (!unused.isEmpty()) {
             boolean isFlood = unused.size() > busy.size() + idle.size();
-            if ((isFlood || isPastGracePeriod(unused.iterator().next())) && evictFirst(unused)) {
+            if ((isFlood || isGracePeriodOver(unused.iterator().next())) && evictFirst(unused)) {
                 return true;
             }
         }
         return evictFirst(idle) || evictStalled();
     }
 
-    private static boolean isPastGracePeriod(ClientConnection client) {
-        return client.isClientTurnLongerThan(ConnectionLimits.NEW_CONNECTION_GRACE_MS);
+    private static boolean isGracePeriodOver(ClientConnection connection) {
+        return connection.hasWaitedForClientLongerThan(ConnectionLimits.NEW_CONNECTION_GRACE_MS);
     }
 
-    /** Evicts the oldest unused connection if its first request has stalled. */
+    /** Evicts the oldest unused connection if its first request has stalled and its grace period is over. */
     private boolean evictStalled() {
         ClientConnection oldest = unused.isEmpty() ? null : unused.iterator().next();
-        if (oldest == null || !oldest.hasStalledRequest() || !isPastGracePeriod(oldest)) {
+        if (oldest == null || !oldest.hasStalledRequest() || !isGracePeriodOver(oldest)) {
             return false;
         }
         unused.remove(oldest);
@@ -104,18 +104,18 @@
     }
 
     /**
-     * Evicts the first connection without unread bytes, as these may be a request that an overloaded proxy has
-     * not read yet. It is removed at once: the event of its close comes later.
+     * Evicts the first connection without pending input. Unread bytes may be a request that an overloaded proxy has not
+     * read yet. The connection is removed immediately, because the event that reports its close arrives later.
      *
-     * @return false if there is none
+     * @return false if all connections have pending input
      */
-    private static boolean evictFirst(Set<ClientConnection> clients) {
-        Iterator<ClientConnection> each = clients.iterator();
-        while (each.hasNext()) {
-            ClientConnection client = each.next();
-            if (client.hasNoPendingInput()) {
-                each.remove();
-                client.close(CloseReason.EVICTED);
+    private static boolean evictFirst(Set<ClientConnection> connections) {
+        Iterator<ClientConnection> iterator = connections.iterator();
+        while (iterator.hasNext()) {
+            ClientConnection connection = iterator.next();
+            if (connection.hasNoPendingInput()) {
+                iterator.remove();
+                connection.close(CloseReason.EVICTED);
                 return true;
             }
         }
--- a/src/main/java/loadbalancer/proxy/downstream/ClientListener.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientListener.java
@@ -8,9 +8,9 @@
 
 import loadbalancer.proxy.resources.ConnectionLimits;
 
-/** The listener for clients, whose connections it accepts as {@link ClientChannel}s. */
+/** The listening socket for clients. Accepts each connection as a {@link ClientChannel}. */
 public class ClientListener extends NioServerSocketChannel {
-    /** The most connections that the system queues until they are accepted. */
+    /** The maximum number of connections that the operating system queues until they are accepted. */
     static final int MAX_BACKLOG_CONNECTIONS = 1_024;
 
     private long acceptedConnections;
@@ -35,18 +35,18 @@
      * Accepts the next connection of the backlog.
      *
      * @return null if the backlog is empty
-     * @throws IOException if the system has no descriptor left, for example
+     * @throws IOException if the connection cannot be accepted, for example because no descriptor is left
      */
     protected SocketChannel acceptSocket() throws IOException {
         return javaChannel().accept();
     }
 
     /**
-     * Accepts the complete backlog: closing the listener would reset those connections, and the requests that have
-     * arrived on them would be lost. Must not be called while connections are being accepted.
+     * Accepts all connections of the backlog. Closing the listener would reset them, and the requests that have arrived
+     * on them would be lost. Must not be called while the listener is accepting connections.
      */
     final void acceptBacklog() {
-        int maxRounds = 1 + MAX_BACKLOG_CONNECTIONS / ConnectionLimits.MAX_ACCEPTS_PER_TURN;
+        int maxRounds = 1 + MAX_BACKLOG_CONNECTIONS / ConnectionLimits.MAX_ACCEPTS_PER_ITERATION;
         for (int round = 0; round < maxRounds; round++) {
             long acceptedBefore = acceptedConnections;
             unsafe().read();
--- a/src/main/java/loadbalancer/proxy/downstream/ClientRequest.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientRequest.java
@@ -3,20 +3,20 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * A client's request that is valid by the protocol. The method, target, transaction id, idempotency key and body are
+ * A client's request that complies with the protocol. The method, target, transaction id, idempotency key and body are
  * forwarded unchanged.
  *
  * @param method the HTTP method
- * @param uri the request target, path and query
- * @param transactionId the client's id of the request
- * @param idempotencyKey the idempotency key, or null
+ * @param uri the request target: the path and the query
+ * @param transactionId the id that the client has given to the request
+ * @param idempotencyKey the idempotency key, or null if the request has none
  * @param body the body, which may be empty
  * @param classIndex the index of the request class in the settings
- * @param tenant the index of the tenant in the settings, or -1
- * @param remainingUs the time from the request's arrival until its response must be ready, in microseconds
- * @param workUs the client's estimate of the work in microseconds, or 0
- * @param retry whether the client marks the request as a retry
- * @param key the key that the request is about, or null
+ * @param tenant the index of the tenant in the settings, or -1 if the tenant is missing or unknown
+ * @param remainingUs the time from the arrival of the request until its response must be ready, in microseconds
+ * @param workUs the client's estimate of the work in microseconds, or 0 if the client gave none
+ * @param retry whether the client has marked the request as a retry
+ * @param key the key for key affinity: the last segment of the path, or null if that is empty
  */
 public record ClientRequest(
         HttpMethod method,
--- a/src/main/java/loadbalancer/proxy/downstream/ClientRequestDecoder.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientRequestDecoder.java
@@ -10,17 +10,17 @@
 
 import loadbalancer.proxy.resources.ConnectionLimits;
 
-/** Decodes the requests of one connection, and knows whether one has arrived in part. */
+/** Decodes the requests of one connection, and tracks whether a request has arrived in part. */
 final class ClientRequestDecoder extends HttpRequestDecoder {
-    private boolean requestBegun;
+    private boolean isRequestIncomplete;
 
     ClientRequestDecoder() {
         super(new HttpDecoderConfig().setMaxChunkSize(ConnectionLimits.MAX_REQUEST_BODY_BYTES));
     }
 
-    /** Whether bytes have arrived after the last complete request. */
+    /** Returns whether a part of the next request has arrived since the last complete request. */
     boolean hasPartialRequest() {
-        return requestBegun || actualReadableBytes() > 0;
+        return isRequestIncomplete || actualReadableBytes() > 0;
     }
 
     @Override
@@ -28,13 +28,13 @@
         int start = bytes.readerIndex();
         super.decode(context, bytes, messages);
         if (!messages.isEmpty() && messages.get(messages.size() - 1) instanceof LastHttpContent) {
-            requestBegun = false;
-        } else if (!requestBegun) {
-            requestBegun = hasVisibleCharacter(bytes, start, bytes.readerIndex());
+            isRequestIncomplete = false;
+        } else if (!isRequestIncomplete) {
+            isRequestIncomplete = hasVisibleCharacter(bytes, start, bytes.readerIndex());
         }
     }
 
-    /** Blanks and line ends between two requests are skipped; they begin none. */
+    /** Whitespace and line breaks between two requests are skipped and do not start a request. */
     private static boolean hasVisibleCharacter(ByteBuf bytes, int start, int end) {
         for (int i = start; i < end; i++) {
             if (bytes.getByte(i) > ' ') {
--- a/src/main/java/loadbalancer/proxy/downstream/ClientRequestHandler.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientRequestHandler.java
@@ -3,16 +3,16 @@
 /** Serves the requests of clients. */
 public interface ClientRequestHandler {
     /**
-     * Accepts a valid and complete request, which is to get one {@link ClientConnection#answer}.
+     * Accepts a complete request with valid headers. The handler must call {@link ClientConnection#answer} once for it.
      *
-     * @param arrivedAtUs when its last byte was read, in microseconds of the proxy's clock
-     * @throws BadRequestException if the request is rejected; it gets no further response then
+     * @param arrivedAtUs when the last byte of the request was read, in microseconds of the proxy's clock
+     * @throws BadRequestException if the handler rejects the request; the connection then sends the response
      */
     void onRequest(ClientConnection client, ClientRequest request, long arrivedAtUs) throws BadRequestException;
 
-    /** Whether the readiness check succeeds. */
+    /** Returns whether the readiness check succeeds. */
     boolean isReady();
 
-    /** Notifies that the client of an accepted request has disconnected before the response. */
+    /** Notifies the handler that the client of an accepted request has disconnected before the response. */
     void onClientDisconnected(ClientRequest request);
 }
--- a/src/main/java/loadbalancer/proxy/downstream/ClientRequestParser.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientRequestParser.java
@@ -17,14 +17,14 @@
 import loadbalancer.proxy.protocol.HttpProtocol;
 import loadbalancer.proxy.resources.ConnectionLimits;
 
-/** Parses the headers of clients' requests, and rejects requests that violate the protocol. */
+/** Parses the headers of client requests, and rejects requests that violate the protocol. */
 public final class ClientRequestParser {
     private static final String API_PATH =
             HttpProtocol.API_PATH_PREFIX.substring(0, HttpProtocol.API_PATH_PREFIX.length() - 1);
     private static final int NO_TENANT = -1;
 
-    /** The share of the client's remaining time that is reserved for writing and transferring the response. */
-    private static final double RESPONSE_TIME_SHARE = 0.05;
+    /** The fraction of the client's remaining time that is reserved for writing and transferring the response. */
+    private static final double RESPONSE_TIME_FRACTION = 0.05;
 
     private static final long MIN_RESPONSE_TIME_US = 1_000;
     private static final long MAX_RESPONSE_TIME_US = 150_000;
@@ -44,23 +44,24 @@
         settings.tenants.forEach(tenant -> tenantIndexes.put(tenant.name(), tenantIndexes.size()));
     }
 
-    /** The path of a request target, without the query. */
+    /** Returns the path of a request target, without the query. */
     static String path(String uri) {
         int end = uri.indexOf('?');
         return end < 0 ? uri : uri.substring(0, end);
     }
 
-    /** Whether requests for the path are forwarded. */
+    /** Returns whether requests for the path are forwarded to endpoints. */
     static boolean isApiPath(String path) {
         return path.startsWith(HttpProtocol.API_PATH_PREFIX) || path.equals(API_PATH);
     }
 
-    /** The status that rejects a request for the framing or the length of its body, or null. */
+    /** Returns the error status for a request with ambiguous framing or a body that is too long, or null if valid. */
     static HttpResponseStatus bodyError(HttpRequest head) {
         List<String> codings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean hasLength = head.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
         if (!codings.isEmpty() && (hasLength || !isChunkedOnly(codings))) {
-            // Request smuggling: an upstream endpoint might find another end of the body, and a request after it.
+            // Prevents request smuggling: an endpoint might find the end of the body elsewhere and read the rest as a
+            // further request.
             return HttpResponseStatus.BAD_REQUEST;
         }
         return HttpUtil.getContentLength(head, 0L) > ConnectionLimits.MAX_REQUEST_BODY_BYTES
@@ -79,7 +80,7 @@
      */
     ClientRequest parse(HttpRequest head, byte[] body) throws BadRequestException {
         String transactionId = requiredHeader(head, HttpProtocol.TRANSACTION_ID_HEADER);
-        int classIndex = classIndex(requiredHeader(head, HttpProtocol.REQUEST_CLASS_HEADER));
+        int classIndex = findClassIndex(requiredHeader(head, HttpProtocol.REQUEST_CLASS_HEADER));
         String idempotencyKey = optionalHeader(head, HttpProtocol.IDEMPOTENCY_KEY_HEADER);
         checkIdempotency(head.method(), classIndex, idempotencyKey);
         String tenant = optionalHeader(head, HttpProtocol.TENANT_HEADER);
@@ -93,13 +94,13 @@
                 body,
                 classIndex,
                 tenant == null ? NO_TENANT : tenantIndexes.getOrDefault(tenant, NO_TENANT),
-                remainingUs(requiredHeader(head, HttpProtocol.REMAINING_TIME_HEADER)),
-                estimatedWorkUs(optionalHeader(head, HttpProtocol.ESTIMATED_WORK_HEADER)),
+                parseRemainingUs(requiredHeader(head, HttpProtocol.REMAINING_TIME_HEADER)),
+                parseEstimatedWorkUs(optionalHeader(head, HttpProtocol.ESTIMATED_WORK_HEADER)),
                 HttpProtocol.MARKED.equals(optionalHeader(head, HttpProtocol.CLIENT_RETRY_HEADER)),
                 key.isEmpty() ? null : key);
     }
 
-    private int classIndex(String name) throws BadRequestException {
+    private int findClassIndex(String name) throws BadRequestException {
         Integer index = classIndexes.get(name);
         if (index == null) {
             throw new BadRequestException(HttpProtocol.REQUEST_CLASS_HEADER, name, "names no class");
@@ -107,7 +108,10 @@
         return index;
     }
 
-    /** A request that is less idempotent than its class says could be executed twice. */
+    /**
+     * Checks that the method and the idempotency key of a request fit its class. A request that is less idempotent than
+     * its class could be executed twice.
+     */
     private void checkIdempotency(HttpMethod method, int classIndex, String idempotencyKey) throws BadRequestException {
         Idempotency idempotency = settings.classes.get(classIndex).idempotency();
         if (!method.equals(idempotency == Idempotency.IDEMPOTENT ? HttpMethod.GET : HttpMethod.POST)) {
@@ -137,33 +141,39 @@
         return values.isEmpty() ? null : values.get(0);
     }
 
-    /** The time in which the response must be ready, by a remaining time with its unit. */
-    static long remainingUs(String text) throws BadRequestException {
+    /**
+     * Returns the time in which the response must be ready, in microseconds: the client's remaining time minus the time
+     * that is reserved for the response.
+     *
+     * @param text the value of the header: a number that is followed by a unit
+     * @throws BadRequestException if the value cannot be parsed or exceeds the maximum
+     */
+    static long parseRemainingUs(String text) throws BadRequestException {
         String header = HttpProtocol.REMAINING_TIME_HEADER;
-        double unitUs = unitUs(text);
-        double us = unitUs * number(text.substring(0, text.length() - 1), header, text);
+        double unitUs = parseUnitUs(text);
+        double us = unitUs * parseNumber(text.substring(0, text.length() - 1), header, text);
         if (unitUs == 0 || us > MAX_REMAINING_US) {
             throw unreadable(header, text);
         }
-        double responseUs = Math.max(MIN_RESPONSE_TIME_US, Math.min(MAX_RESPONSE_TIME_US, RESPONSE_TIME_SHARE * us));
+        double responseUs = Math.max(MIN_RESPONSE_TIME_US, Math.min(MAX_RESPONSE_TIME_US, RESPONSE_TIME_FRACTION * us));
         return Math.max(0, (long) (us - responseUs));
     }
 
-    /** The unit at the end of a remaining time in microseconds; 0 if there is none. */
-    private static double unitUs(String text) {
+    /** Returns the unit at the end of a remaining time in microseconds, or 0 if the unit is missing. */
+    private static double parseUnitUs(String text) {
         if (text.endsWith(HttpProtocol.REMAINING_TIME_MILLISECONDS_UNIT)) {
             return US_PER_MS;
         }
         return text.endsWith(HttpProtocol.REMAINING_TIME_MICROSECONDS_UNIT) ? 1 : 0;
     }
 
-    private static long estimatedWorkUs(String text) throws BadRequestException {
-        return text == null ? 0 : (long) number(text, HttpProtocol.ESTIMATED_WORK_HEADER, text);
+    private static long parseEstimatedWorkUs(String text) throws BadRequestException {
+        return text == null ? 0 : (long) parseNumber(text, HttpProtocol.ESTIMATED_WORK_HEADER, text);
     }
 
-    /** The number that a header's value is, or begins with. */
-    private static double number(String digits, String header, String value) throws BadRequestException {
-        // Double.parseDouble alone would accept 1f, 0x1p3, NaN and blanks too.
+    /** Parses the number in the value of a header, given without the unit. The whole value is for the error. */
+    private static double parseNumber(String digits, String header, String value) throws BadRequestException {
+        // Double.parseDouble alone would also accept 1f, 0x1p3, NaN and surrounding whitespace.
         if (NUMBER.matcher(digits).matches()) {
             try {
                 return Double.parseDouble(digits);
--- a/src/main/java/loadbalancer/proxy/downstream/ClientRequestReader.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientRequestReader.java
@@ -20,8 +20,9 @@
 import loadbalancer.proxy.resources.ConnectionLimits;
 
 /**
- * Assembles complete requests from the bytes of one connection, within the limits on their size and on the time
- * that they may take. Nothing is read after a request that is rejected: where the next one begins is not known.
+ * Assembles complete requests from the bytes of one connection, and enforces the limits on their size and on the time
+ * until they are complete. After it rejects a request, it discards all further bytes, because it cannot tell where the
+ * next request begins.
  */
 final class ClientRequestReader {
     private static final long READ_TIMEOUT_US = TimeUnit.MILLISECONDS.toMicros(ConnectionLimits.READ_TIMEOUT_MS);
@@ -33,11 +34,11 @@
     private final ClientRequestDecoder decoder = new ClientRequestDecoder();
 
     private InputPhase phase = InputPhase.BETWEEN_REQUESTS;
-    /** Whether reading waits until fewer requests are pipelined. */
-    private boolean paused;
-    /** Whether a request has been received, complete or rejected. */
-    private boolean requestReceived;
-    /** When the request that has arrived in part began to arrive. */
+    /** Whether reading is paused because too many requests are pipelined. */
+    private boolean isPaused;
+    /** Whether a request has been received, either complete or rejected. */
+    private boolean hasReceivedRequest;
+    /** When the read timeout of the request that has arrived in part began. */
     private long requestStartedAtUs;
 
     private HttpRequest head;
@@ -54,8 +55,8 @@
         return decoder;
     }
 
-    /** The handler before the decoder, which discards bytes once the input is closed: they are not decoded. */
-    ChannelInboundHandler inputGate() {
+    /** Returns the channel handler that discards bytes before they reach the decoder once the input is closed. */
+    ChannelInboundHandler inputFilter() {
         return new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext context, Object bytes) {
@@ -65,8 +66,8 @@
                 }
                 if (!phase.hasPartialRequest()) {
                     phase = phase.onBytes();
-                    // The time for the first request on a connection includes that since the client connected.
-                    requestStartedAtUs = requestReceived ? clock.nowUs() : connectedAtUs;
+                    // The read timeout of the first request begins when the client connects.
+                    requestStartedAtUs = hasReceivedRequest ? clock.nowUs() : connectedAtUs;
                 }
                 context.fireChannelRead(bytes);
                 phase = phase.onBytesDecoded(head != null || decoder.hasPartialRequest());
@@ -74,9 +75,9 @@
         };
     }
 
-    /** Reads the next part of a request. */
+    /** Processes the next decoded part of a request. */
     void read(HttpObject part) {
-        // When a connection closes, the decoder emits the incomplete request: it gets no response.
+        // When a connection closes, the decoder emits the incomplete request, which gets no response.
         if (phase.isClosed() || !channel.isActive()) {
             return;
         }
@@ -95,7 +96,7 @@
         }
     }
 
-    /** Returns false if the request is rejected by its head. */
+    /** Returns false if the request is rejected because of its head. */
     private boolean startRequest(HttpRequest request) {
         head = request;
         body = new ByteArrayOutputStream();
@@ -110,7 +111,7 @@
         return true;
     }
 
-    /** Returns false if the request is rejected by the size of its body. */
+    /** Returns false if the request is rejected because its body is too long. */
     private boolean appendBody(ByteBuf bytes) {
         if (body.size() + bytes.readableBytes() > ConnectionLimits.MAX_REQUEST_BODY_BYTES) {
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
@@ -119,7 +120,7 @@
         try {
             bytes.readBytes(body, bytes.readableBytes());
         } catch (IOException e) {
-            throw new IllegalStateException("a byte array cannot be written", e);
+            throw new IllegalStateException("failed to copy a request body in memory", e);
         }
         return true;
     }
@@ -139,48 +140,48 @@
     private void resetRequest() {
         head = null;
         body = null;
-        // Bytes after the request, if any, begin the next one now at the earliest.
+        // If bytes of the next request have already arrived, its read timeout begins now.
         requestStartedAtUs = clock.nowUs();
     }
 
     private void deliver(ReceivedRequest request) {
-        requestReceived = true;
+        hasReceivedRequest = true;
         connection.onRequestReceived(request);
     }
 
-    /** Rejects a request that has arrived in part and taken longer than the read timeout. */
+    /** Rejects a request that is still incomplete after the read timeout. Has no effect while reading is paused. */
     void rejectIfTimedOut() {
-        if (phase == InputPhase.IN_REQUEST && !paused && clock.nowUs() - requestStartedAtUs > READ_TIMEOUT_US) {
+        if (phase == InputPhase.IN_REQUEST && !isPaused && clock.nowUs() - requestStartedAtUs > READ_TIMEOUT_US) {
             reject(HttpResponseStatus.REQUEST_TIMEOUT);
         }
     }
 
-    /** Stops reading from the socket until {@link #resume}; no effect once the input is closed. */
+    /** Stops reading from the socket until {@link #resume} is called. Has no effect once the input is closed. */
     void pause() {
         if (!phase.isClosed()) {
-            paused = true;
+            isPaused = true;
             channel.config().setAutoRead(false);
         }
     }
 
-    /** Reads again if reading is paused. */
+    /** Resumes reading if it is paused, and restarts the read timeout. */
     void resume() {
-        if (paused) {
-            paused = false;
+        if (isPaused) {
+            isPaused = false;
             requestStartedAtUs = clock.nowUs();
             channel.config().setAutoRead(true);
         }
     }
 
-    /** Discards all that arrives from now on. */
+    /** Closes the input: all bytes that arrive from now on are discarded. */
     void close() {
         phase = phase.onClosed();
     }
 
-    /** Leaves further requests unread. Once the input is closed, bytes are still read and discarded. */
-    void readEndOnly() {
+    /** Leaves further bytes unread, as {@link ClientChannel#detectCloseOnly} does, unless the input is closed. */
+    void detectCloseOnly() {
         if (!phase.isClosed()) {
-            channel.readEndOnly();
+            channel.detectCloseOnly();
         }
     }
 
@@ -188,12 +189,12 @@
         return phase.isClosed();
     }
 
-    /** Whether a request has been received, complete or rejected. */
+    /** Returns whether a request has been received, either complete or rejected. */
     boolean hasReceivedRequest() {
-        return requestReceived;
+        return hasReceivedRequest;
     }
 
-    /** Whether a request has arrived in part. */
+    /** Returns whether a request has arrived in part. */
     boolean hasPartialRequest() {
         return phase.hasPartialRequest();
     }
--- a/src/main/java/loadbalancer/proxy/downstream/ClientResponses.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientResponses.java
@@ -7,18 +7,18 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** Builds the responses that clients get. */
+/** Creates the responses to clients. */
 final class ClientResponses {
     private static final double US_PER_S = 1e6;
 
     private ClientResponses() {}
 
-    /** The interim response that requests the body of a request. */
+    /** Creates the 100 Continue response, which asks for the body of a request. */
     static FullHttpResponse continueResponse() {
         return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER);
     }
 
-    /** A final response; {@code retryAfterUs} of 0 sets no Retry-After. */
+    /** Creates a final response. The Retry-After header is omitted if {@code retryAfterUs} is 0. */
     static FullHttpResponse finalResponse(HttpResponseStatus status, byte[] body, long retryAfterUs) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
--- a/src/main/java/loadbalancer/proxy/downstream/CloseReason.java
+++ b/src/main/java/loadbalancer/proxy/downstream/CloseReason.java
@@ -1,6 +1,6 @@
 package loadbalancer.proxy.downstream;
 
-/** Why the proxy closes a client connection, as the log says it. */
+/** The reasons for closing a client connection, with their texts in the log. */
 enum CloseReason {
     LAST_RESPONSE_WRITTEN("last response written"),
     KEEP_ALIVE_TIMEOUT("keep-alive timeout"),
--- a/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
@@ -17,10 +17,10 @@
 import loadbalancer.proxy.resources.DescriptorBudget;
 import loadbalancer.proxy.resources.HeapBuffers;
 
-/** The server for clients: it listens, has their connections, and closes them in a graceful shutdown. */
+/** The HTTP server for clients. Accepts and tracks their connections, and closes them in a graceful shutdown. */
 public final class DownstreamServer {
-    /** Reads from one connection before the event loop serves the others. */
-    private static final int MAX_READS_PER_TURN = 16;
+    /** The maximum number of reads from one connection before the event loop continues with other connections. */
+    private static final int MAX_READS_PER_ITERATION = 16;
 
     private final EventLoopGroup loop;
     private final Clock clock;
@@ -37,7 +37,7 @@
     /**
      * Creates a server that does not listen yet.
      *
-     * @param descriptors the budget that connections are counted in
+     * @param descriptors the budget in which the server counts client connections
      */
     public DownstreamServer(
             EventLoopGroup loop,
@@ -55,7 +55,7 @@
         connections = new ClientConnectionRegistry(descriptors);
     }
 
-    /** Opens the listener; the future fails if the address is in use or no descriptor is left. */
+    /** Opens the listener. The returned future fails if the address is in use or no descriptor is left. */
     public ChannelFuture listen(InetSocketAddress address) {
         ChannelFuture opening = new ServerBootstrap()
                 .group(loop)
@@ -66,13 +66,13 @@
                 .option(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new ServerChannelRecvByteBufAllocator()
-                                .maxMessagesPerRead(ConnectionLimits.MAX_ACCEPTS_PER_TURN))
-                // A read includes the connection's end: a client that has disconnected is not served.
+                                .maxMessagesPerRead(ConnectionLimits.MAX_ACCEPTS_PER_ITERATION))
+                // Reads until no data is left, so that a disconnect is detected before the request is served.
                 .childOption(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new AdaptiveRecvByteBufAllocator()
                                 .respectMaybeMoreData(false)
-                                .maxMessagesPerRead(MAX_READS_PER_TURN))
+                                .maxMessagesPerRead(MAX_READS_PER_ITERATION))
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .handler(new AcceptErrorHandler())
                 .childHandler(new ChannelInitializer<ClientChannel>() {
@@ -82,7 +82,7 @@
                     }
                 })
                 .bind(address);
-        // Where no descriptor is left, the channel of the failed future is of another type.
+        // If no descriptor is left, the channel of the failed future has another type.
         if (opening.channel() instanceof ClientListener opened) {
             listener = opened;
         }
@@ -93,32 +93,32 @@
         descriptors.clientOpened();
         channel.closeFuture().addListener(done -> descriptors.clientClosed());
         if (!descriptors.hasCapacityForClient() && !connections.evictOne()) {
-            // Every connection has an open request, and the descriptors left are for their upstream connections.
+            // No connection can be evicted, and the remaining descriptors are reserved for upstream connections.
             channel.close();
             return;
         }
-        ClientConnection client = new ClientConnection(this, clock, parser, handler, channel);
-        connections.add(client);
-        client.addHandlersTo(channel.pipeline());
+        ClientConnection connection = new ClientConnection(this, clock, parser, handler, channel);
+        connections.add(connection);
+        connection.addHandlersTo(channel.pipeline());
     }
 
-    /** Notifies that a request has been received on a connection that serves none. */
-    void onRequest(ClientConnection client) {
-        connections.onRequest(client);
+    /** Called when a connection receives a request while it serves none. */
+    void onRequest(ClientConnection connection) {
+        connections.onRequest(connection);
     }
 
-    /** Notifies that the last received request of a connection has its response. */
-    void onResponseWritten(ClientConnection client) {
-        connections.onResponseWritten(client);
+    /** Called when all received requests of a connection have a response. */
+    void onResponseWritten(ClientConnection connection) {
+        connections.onResponseWritten(connection);
     }
 
-    /** Notifies that a connection has closed. */
-    void onClosed(ClientConnection client) {
-        connections.onClosed(client);
+    /** Called when a connection has closed. */
+    void onClosed(ClientConnection connection) {
+        connections.onClosed(connection);
         notifyIfClosed();
     }
 
-    /** The number of open connections. */
+    /** Returns the number of open connections. */
     public int connections() {
         return connections.size();
     }
@@ -128,38 +128,38 @@
         connections.all().forEach(ClientConnection::closeIfTimedOut);
     }
 
-    /** Whether a graceful shutdown has begun. */
+    /** Returns whether a graceful shutdown has begun. */
     public boolean isDraining() {
         return phase != ServerPhase.SERVING;
     }
 
-    /** Whether connections close with their next response. */
+    /** Returns whether connections close with their next response. */
     boolean isClosing() {
         return phase == ServerPhase.CLOSING;
     }
 
     /**
-     * Begins a graceful shutdown. New connections are accepted for as long as clients may still be directed
-     * here, and open ones are served while there is time. Then idle connections close, and each other one with
-     * its next response.
+     * Begins a graceful shutdown. For a short time, the server still accepts connections, because clients may still be
+     * directed to it. Open connections are served normally until the serving time is over. Then connections without a
+     * request close at once, and the other connections close with their next response.
      *
-     * @param lastRequestUs the time from now until no further requests are served, in microseconds
-     * @param whenClosed called once no connection is open and none will be
+     * @param servingTimeUs the time from now during which connections are served normally, in microseconds
+     * @param whenClosed called once no connection is open and no further connection will be accepted
      */
-    public void drain(long lastRequestUs, Runnable whenClosed) {
+    public void drain(long servingTimeUs, Runnable whenClosed) {
         phase = phase.onShutdownRequested();
         this.whenClosed = whenClosed;
         if (listener == null || !listener.isOpen()) {
-            // Shut down before it listened: no connection has been accepted, and none will be.
-            phase = phase.onRequestsEnded();
+            // The server does not listen, so no connection has been accepted and none will be.
+            phase = phase.onServingTimeOver();
             whenClosed.run();
             return;
         }
         loop.schedule(this::stopListening, ConnectionLimits.ACCEPT_AFTER_SHUTDOWN_MS, TimeUnit.MILLISECONDS);
-        loop.schedule(this::closeUnusedConnections, lastRequestUs, TimeUnit.MICROSECONDS);
+        loop.schedule(this::beginClosing, servingTimeUs, TimeUnit.MICROSECONDS);
     }
 
-    /** Accepts the connections of the backlog and no further ones. */
+    /** Accepts the connections of the backlog, then closes the listener. */
     private void stopListening() {
         if (listener.isOpen()) {
             listener.acceptBacklog();
@@ -167,18 +167,21 @@
         }
     }
 
-    /** Requests that have arrived, also in part, are served, and their responses close the connections. */
-    private void closeUnusedConnections() {
+    /**
+     * Closes the connections without a request. Requests that have arrived, even in part, are still served, and their
+     * responses close the connections.
+     */
+    private void beginClosing() {
         stopListening();
-        phase = phase.onRequestsEnded();
-        connections.withoutRequest().forEach(client -> client.closeGracefully(CloseReason.GRACEFUL_SHUTDOWN));
+        phase = phase.onServingTimeOver();
+        connections.withoutRequest().forEach(connection -> connection.closeGracefully(CloseReason.GRACEFUL_SHUTDOWN));
         notifyIfClosed();
     }
 
-    /** Closes the listener and all connections at once. */
+    /** Closes the listener and all connections immediately. */
     public void close() {
         listener.close();
-        connections.all().forEach(client -> client.close(CloseReason.SHUTDOWN));
+        connections.all().forEach(connection -> connection.close(CloseReason.SHUTDOWN));
     }
 
     private void notifyIfClosed() {
--- a/src/main/java/loadbalancer/proxy/downstream/InputPhase.java
+++ b/src/main/java/loadbalancer/proxy/downstream/InputPhase.java
@@ -1,39 +1,43 @@
 package loadbalancer.proxy.downstream;
 
-/** What becomes of the bytes that a client sends. */
+/** The phases of the input from a client, which decide how received bytes are treated. */
 enum InputPhase {
-    /** All requests that have begun to arrive are complete. */
+    /** No request has arrived in part. */
     BETWEEN_REQUESTS,
     /** A request has arrived in part. */
     IN_REQUEST,
     /** Bytes are discarded. */
     CLOSED,
-    /** Bytes are discarded, and a request had arrived in part before that. */
+    /** Bytes are discarded, and a request had arrived in part when the input closed. */
     CLOSED_IN_REQUEST;
 
-    /** Whether bytes are discarded. */
+    /** Returns whether received bytes are discarded. */
     boolean isClosed() {
         return this == CLOSED || this == CLOSED_IN_REQUEST;
     }
 
-    /** Whether a request has arrived in part. */
+    /** Returns whether a request has arrived in part. */
     boolean hasPartialRequest() {
         return this == IN_REQUEST || this == CLOSED_IN_REQUEST;
     }
 
     /**
-     * The phase once bytes have arrived.
+     * Returns the phase after bytes have arrived.
      *
      * @throws IllegalStateException if the input is closed
      */
     InputPhase onBytes() {
         if (isClosed()) {
-            throw new IllegalStateException("bytes cannot be read in phase " + this);
+            throw new IllegalStateException("cannot read bytes in input phase " + this);
         }
         return IN_REQUEST;
     }
 
-    /** The phase once all bytes of a read are decoded, by whether the last request among them is incomplete. */
+    /**
+     * Returns the phase after all bytes of a read have been decoded.
+     *
+     * @param hasPartialRequest whether the last request among these bytes is incomplete
+     */
     InputPhase onBytesDecoded(boolean hasPartialRequest) {
         if (isClosed()) {
             return CLOSED;
@@ -41,12 +45,12 @@
         return hasPartialRequest ? IN_REQUEST : BETWEEN_REQUESTS;
     }
 
-    /** The phase once the request that has arrived in part is rejected. */
+    /** Returns the phase after the request that has arrived in part has been rejected. */
     InputPhase onRequestRejected() {
         return CLOSED;
     }
 
-    /** The phase once nothing more is read. */
+    /** Returns the phase after the input has been closed. */
     InputPhase onClosed() {
         return hasPartialRequest() ? CLOSED_IN_REQUEST : CLOSED;
     }
--- a/src/main/java/loadbalancer/proxy/downstream/RequestPipeline.java
+++ b/src/main/java/loadbalancer/proxy/downstream/RequestPipeline.java
@@ -4,7 +4,7 @@
 
 import loadbalancer.proxy.resources.ConnectionLimits;
 
-/** The requests of one connection that are received and not served yet, the oldest first. */
+/** The queue of received requests of one connection that are not being served yet, the oldest first. */
 final class RequestPipeline {
     private final ArrayDeque<ReceivedRequest> requests = new ArrayDeque<>();
     private int bodyBytes;
@@ -14,7 +14,7 @@
         bodyBytes += request.body().length;
     }
 
-    /** Removes the oldest request; null if there is none. */
+    /** Removes and returns the oldest request, or returns null if the queue is empty. */
     ReceivedRequest poll() {
         ReceivedRequest request = requests.poll();
         if (request != null) {
@@ -36,7 +36,7 @@
         return requests.isEmpty();
     }
 
-    /** Whether the limit on requests or on the bytes of their bodies is exceeded. */
+    /** Returns whether the limit on the number of requests or on the total size of their bodies is exceeded. */
     boolean isOverLimit() {
         return requests.size() > ConnectionLimits.MAX_PIPELINED_REQUESTS
                 || bodyBytes > ConnectionLimits.MAX_REQUEST_BODY_BYTES;
--- a/src/main/java/loadbalancer/proxy/downstream/ServerPhase.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ServerPhase.java
@@ -1,27 +1,27 @@
 package loadbalancer.proxy.downstream;
 
-/** The phases of the server for clients, from serving to the end of a graceful shutdown. */
+/** The phases of the {@link DownstreamServer}, from serving to the end of a graceful shutdown. */
 enum ServerPhase {
-    /** Connections are accepted and kept alive. */
+    /** The server accepts connections and keeps them alive. */
     SERVING,
-    /** The readiness check fails; connections are accepted for a short time, and kept alive. */
+    /** The readiness check fails. The server still accepts connections for a short time and keeps them alive. */
     DRAINING,
-    /** No connection is accepted, and each one closes with its next response. */
+    /** The server accepts no connections, and each open connection closes with its next response. */
     CLOSING;
 
-    /** The phase once a graceful shutdown is requested, which may happen more than once. */
+    /** Returns the phase after a graceful shutdown has been requested, which may happen more than once. */
     ServerPhase onShutdownRequested() {
         return this == SERVING ? DRAINING : this;
     }
 
     /**
-     * The phase once the time for further requests is over.
+     * Returns the phase after the time for further requests is over.
      *
-     * @throws IllegalStateException if no graceful shutdown is requested
+     * @throws IllegalStateException if no graceful shutdown has been requested
      */
-    ServerPhase onRequestsEnded() {
+    ServerPhase onServingTimeOver() {
         if (this == SERVING) {
-            throw new IllegalStateException("connections cannot be closed in phase " + this);
+            throw new IllegalStateException("cannot close connections in server phase " + this);
         }
         return CLOSING;
     }
--- a/src/main/java/loadbalancer/proxy/downstream/package-info.java
+++ b/src/main/java/loadbalancer/proxy/downstream/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The side of the proxy that clients see: the listener, the connections of clients with their requests and
- * responses, and the graceful shutdown. It decides nothing about requests; a {@link
- * loadbalancer.proxy.downstream.ClientRequestHandler} serves them.
+ * The client side of the proxy: the listener, client connections with their requests and responses, and the graceful
+ * shutdown. Valid requests are passed to a {@link loadbalancer.proxy.downstream.ClientRequestHandler}, which makes all
+ * decisions about them.
  */
 package loadbalancer.proxy.downstream;
--- a/src/main/java/loadbalancer/proxy/logging/EventLog.java
+++ b/src/main/java/loadbalancer/proxy/logging/EventLog.java
@@ -6,11 +6,13 @@
 import java.util.logging.Logger;
 
 /**
- * Writes lines for the operators to standard error. A thread of its own writes them, so that a blocked reader does not block
- * the event loop. Lines beyond a rate limit are dropped, and their number is written before the next line.
+ * Writes log lines for operators to standard error. A dedicated thread writes them, so that the event loop does not
+ * block if nothing reads standard error. Lines beyond a rate limit are dropped, and their number is logged before the
+ * next line.
  *
- * <p>Lines about single requests and connections are written if the environment has {@code LOADBALANCER_LOG=requests}. They
- * have a rate limit of their own, so that they do not displace lines about the state of the process.
+ * <p>Lines about single requests and connections are written only if the environment variable {@code LOADBALANCER_LOG}
+ * is {@code requests}. They have a separate rate limit, so that they do not displace lines about the state of the
+ * process.
  */
 public final class EventLog {
     private static final String LEVEL_VARIABLE = "LOADBALANCER_LOG";
@@ -20,7 +22,7 @@
     private static final int MAX_QUEUED_LINES = 64;
     private static final int MAX_STACK_FRAMES = 40;
 
-    /** A strong reference, as a logger without one may be collected together with its handler. */
+    /** A strong reference, because a logger without one may be garbage-collected together with its handler. */
     private static final Logger NETTY_LOGGER = Logger.getLogger("io.netty");
 
     private static final BlockingQueue<String> QUEUE = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
@@ -37,14 +39,14 @@
 
     private EventLog() {}
 
-    /** Writes a line about the state of the process. */
+    /** Writes a line about the state of the process. Line breaks in the text become spaces. */
     public static void message(String text) {
         if (tryAcquire(STATE_LIMIT)) {
             enqueue(onOneLine(text));
         }
     }
 
-    /** Writes a line without a rate limit, for scripts that wait for it when the process starts. */
+    /** Writes a line without a rate limit, because scripts wait for this line when the process starts. */
     public static void startupMessage(String text) {
         enqueue(text);
     }
@@ -54,14 +56,18 @@
         message(event.toString());
     }
 
-    /** Writes an event about a single request or connection. It is only created if it is written. */
+    /** Writes an event about a single request or connection. The event is created only if it is written. */
     public static void requestEvent(Supplier<LogEvent> event) {
         if (WRITES_REQUESTS && tryAcquire(REQUEST_LIMIT)) {
             enqueue(onOneLine(event.get().toString()));
         }
     }
 
-    /** Writes an unexpected error with its stack trace. */
+    /**
+     * Writes an unexpected error with its stack trace.
+     *
+     * @param operation what has failed; the line begins with it
+     */
     public static void error(String operation, Throwable cause) {
         if (tryAcquire(STATE_LIMIT)) {
             StringBuilder text = new StringBuilder(operation).append(": ").append(cause);
@@ -74,8 +80,8 @@
     }
 
     /**
-     * Writes the warnings of Netty to this log. The JDK's own handler opens files when it first formats a time, which fails
-     * if no file descriptor is left and then stops the event loop.
+     * Writes Netty's log records to this log. The JDK's default log handler opens files when it first formats a time.
+     * If no file descriptor is left, this fails and stops the event loop.
      */
     public static void redirectNettyWarnings() {
         NETTY_LOGGER.setUseParentHandlers(false);
--- a/src/main/java/loadbalancer/proxy/logging/LogEvent.java
+++ b/src/main/java/loadbalancer/proxy/logging/LogEvent.java
@@ -4,7 +4,7 @@
 import java.time.temporal.ChronoUnit;
 
 /**
- * A structured line of the log: the name of the event, the monotonic time in microseconds, the wall-clock time, and
+ * A structured log line: the name of the event, the monotonic time in microseconds, the wall-clock time, and
  * {@code key=value} fields in the order in which they are added.
  */
 public final class LogEvent {
@@ -21,7 +21,7 @@
                 .append(Instant.now().truncatedTo(ChronoUnit.MILLIS));
     }
 
-    /** Creates an event that occurs now. */
+    /** Creates an event with the current time. */
     public static LogEvent named(String name) {
         return new LogEvent(name);
     }
@@ -32,15 +32,15 @@
         return this;
     }
 
-    /** Adds a truth value. */
+    /** Adds a boolean field. */
     public LogEvent with(String key, boolean value) {
         line.append(' ').append(key).append('=').append(value);
         return this;
     }
 
     /**
-     * Adds a field as text. The value is quoted if it is empty or contains a blank, a quote or an equals sign; double quotes
-     * in it become single quotes.
+     * Adds a text field. The value is enclosed in double quotes if it is empty or contains a space, a double quote or
+     * an equals sign. Double quotes in the value become single quotes.
      */
     public LogEvent with(String key, Object value) {
         String text = String.valueOf(value);
--- a/src/main/java/loadbalancer/proxy/logging/package-info.java
+++ b/src/main/java/loadbalancer/proxy/logging/package-info.java
@@ -1,2 +1,2 @@
-/** The log of the proxy for its operators: structured events, one a line, on standard error. */
+/** The proxy's log for operators, which is written to standard error with one structured event per line. */
 package loadbalancer.proxy.logging;
--- a/src/main/java/loadbalancer/proxy/resources/Clock.java
+++ b/src/main/java/loadbalancer/proxy/resources/Clock.java
@@ -1,8 +1,8 @@
 package loadbalancer.proxy.resources;
 
-/** The clock of the proxy. */
+/** Provides the time for timestamps, deadlines and timeouts. */
 @FunctionalInterface
 public interface Clock {
-    /** The current Unix time in microseconds, which never decreases. */
+    /** Returns the current Unix time in microseconds, which never decreases. */
     long nowUs();
 }
--- a/src/main/java/loadbalancer/proxy/resources/ConnectionLimits.java
+++ b/src/main/java/loadbalancer/proxy/resources/ConnectionLimits.java
@@ -1,47 +1,58 @@
 package loadbalancer.proxy.resources;
 
-/** Limits of the connections to clients and to endpoints. */
+/** Limits and timeouts of client connections and upstream connections. */
 public final class ConnectionLimits {
-    /** The largest body of a request, by the protocol. */
+    /** The maximum size of a request body, as defined by the protocol. */
     public static final int MAX_REQUEST_BODY_BYTES = 64 << 10;
 
-    /** The largest body of a response; endpoints send larger ones than the protocol allows. */
+    /** The maximum size of a response body. Endpoints send larger bodies than the protocol allows. */
     public static final int MAX_RESPONSE_BODY_BYTES = 1 << 20;
 
-    /** The largest size of all buffered responses together: a quarter of the heap. */
+    /** The maximum total size of all buffered responses: a quarter of the heap. */
     public static final int MAX_BUFFERED_RESPONSE_BYTES = 16 << 20;
 
-    /** The initial size of a response buffer, whatever length the response announces. */
+    /** The maximum initial size of a response buffer, even if the response announces a longer body. */
     public static final int INITIAL_RESPONSE_BUFFER_BYTES = 16 << 10;
 
-    /** How many requests a client may send before the first of them is answered. */
+    /** The number of received requests that may wait on one connection before the proxy pauses reading from it. */
     public static final int MAX_PIPELINED_REQUESTS = 16;
 
-    /** How many connections are accepted in one iteration of the event loop. */
-    public static final int MAX_ACCEPTS_PER_TURN = 64;
+    /** The maximum number of connections that are accepted in one iteration of the event loop. */
+    public static final int MAX_ACCEPTS_PER_ITERATION = 64;
 
-    /** The longest time from the first byte of a request to its last, and from connecting to the first request. */
+    /**
+     * The maximum time from the first byte of a request to its last byte. For the first request on a connection, the
+     * time begins when the client connects.
+     */
     public static final long READ_TIMEOUT_MS = 2_000;
 
-    /** The longest time that a client connection is kept open without a request. */
+    /** The maximum time that an idle client connection stays open after a response. */
     public static final long KEEP_ALIVE_TIMEOUT_MS = 5_000;
 
-    /** The longest time for a client to receive a response. */
+    /** The maximum time for writing a response to a client. */
     public static final long WRITE_TIMEOUT_MS = 5_000;
 
-    /** The time for a client to close after the last response; closing earlier could reset unread data. */
+    /**
+     * The time that a client has to close the connection after the last response. If the proxy closed the connection
+     * earlier, a reset could discard data that the client has not read yet.
+     */
     public static final long LINGER_MS = 1_000;
 
-    /** The time in which a new connection is not closed to free its descriptor, as its request may be on the way. */
+    /**
+     * The time during which a new connection is not evicted to free its descriptor, because its first request may be in
+     * transit.
+     */
     public static final long NEW_CONNECTION_GRACE_MS = 100;
 
-    /** The time for which connections are accepted after SIGTERM; clients connect for 400 ms after it. */
+    /**
+     * The time for which the proxy accepts connections after SIGTERM. Clients still connect up to 400 ms after SIGTERM.
+     */
     public static final long ACCEPT_AFTER_SHUTDOWN_MS = 500;
 
-    /** The time in which a connection is not reused after a response, as a stray second response may follow. */
+    /** The time after a response before the connection is reused, because a stray second response may follow. */
     public static final long REUSE_DELAY_US = 20_000;
 
-    /** The time between two checks for expired connections. */
+    /** The interval between two checks for connections that have exceeded a timeout. */
     public static final long HOUSEKEEPING_INTERVAL_MS = 200;
 
     private ConnectionLimits() {}
--- a/src/main/java/loadbalancer/proxy/resources/DescriptorBudget.java
+++ b/src/main/java/loadbalancer/proxy/resources/DescriptorBudget.java
@@ -1,71 +1,81 @@
 package loadbalancer.proxy.resources;
 
-/** Counts open sockets against the file descriptor limit of the process, so that neither side can use up the other's. */
+/**
+ * Counts open connections against the file descriptor limit of the process, so that client connections leave
+ * descriptors for upstream connections.
+ */
 public final class DescriptorBudget {
-    /** Descriptors of the JVM, the jar, the listener and discovery. */
+    /** Descriptors that the JVM, the jar, the listener and the discovery connection use. */
     private static final int PROCESS_DESCRIPTORS = 32;
 
-    /** Descriptors that are not given to connections; accepted ones have theirs before they are counted. */
-    private static final int RESERVED_DESCRIPTORS = PROCESS_DESCRIPTORS + ConnectionLimits.MAX_ACCEPTS_PER_TURN;
+    /**
+     * Descriptors that are not available to counted connections. They include one for each connection that an iteration
+     * of the event loop accepts, because an accepted connection has a descriptor before it is counted.
+     */
+    private static final int RESERVED_DESCRIPTORS = PROCESS_DESCRIPTORS + ConnectionLimits.MAX_ACCEPTS_PER_ITERATION;
 
     private static final int MIN_SOCKETS = 8;
 
-    /** The largest part of the sockets for clients; a request in flight needs an upstream connection too. */
-    private static final double CLIENT_PART = 0.6;
+    /** The maximum fraction of the sockets for clients. Requests in flight also need upstream connections. */
+    private static final double MAX_CLIENT_FRACTION = 0.6;
 
-    /** The largest part of the limit for idle clients, so that new clients can always connect. */
-    private static final double IDLE_CLIENT_PART = 1.0 / 6;
+    /** The maximum fraction of all descriptors for idle client connections, so that new clients can always connect. */
+    private static final double MAX_IDLE_CLIENT_FRACTION = 1.0 / 6;
 
     private final int maxSockets;
     private final int maxIdleClients;
     private int openSockets;
     private int openClients;
 
-    /** Creates the budget of a process that may have so many file descriptors. */
+    /**
+     * Creates the budget of a process.
+     *
+     * @param maxDescriptors the file descriptor limit of the process
+     */
     public DescriptorBudget(int maxDescriptors) {
         maxSockets = Math.max(MIN_SOCKETS, maxDescriptors - RESERVED_DESCRIPTORS);
-        maxIdleClients = (int) (IDLE_CLIENT_PART * maxDescriptors);
+        maxIdleClients = (int) (MAX_IDLE_CLIENT_FRACTION * maxDescriptors);
     }
 
-    /** An upstream connection was opened. */
+    /** Counts an upstream connection that is being opened. */
     public void upstreamOpened() {
         openSockets++;
     }
 
-    /** An upstream connection was closed. */
+    /** Releases the descriptor of an upstream connection that has closed or could not be opened. */
     public void upstreamClosed() {
         openSockets--;
     }
 
-    /** A client connection was accepted. */
+    /** Counts a client connection that has been accepted. */
     public void clientOpened() {
         openSockets++;
         openClients++;
     }
 
-    /** A client connection was closed. */
+    /** Releases the descriptor of a client connection that has closed. */
     public void clientClosed() {
         openSockets--;
         openClients--;
     }
 
-    /** The number of open connections to clients and endpoints. */
+    /** Returns the number of counted connections to clients and endpoints. */
     public int open() {
         return openSockets;
     }
 
-    /** How many client connections without a request may stay open. */
+    /** Returns how many idle client connections may stay open. */
     public int maxIdleClients() {
         return maxIdleClients;
     }
 
-    /** Whether another upstream connection may be opened. */
+    /** Returns whether another upstream connection may be opened. */
     public boolean hasCapacityForUpstream() {
         return openSockets < maxSockets;
     }
 
-    /** Whether another client connection may be kept. */
+    /** Returns whether the client connection that was counted last may stay open without an eviction. */
     public boolean hasCapacityForClient() {
-        return openSockets < maxSockets && openClients < CLIENT_PART * maxSockets;
+        return openSockets < maxSockets && openClients < MAX_CLIENT_FRACTION * maxSockets;
     }
 }
--- a/src/main/java/loadbalancer/proxy/resources/SystemClock.java
+++ b/src/main/java/loadbalancer/proxy/resources/SystemClock.java
@@ -4,8 +4,8 @@
 import java.time.temporal.ChronoUnit;
 
 /**
- * Reads the wall clock once, when it is created, and measures from then on with the monotonic clock. A step of the wall clock
- * thus does not move the deadlines of requests in flight.
+ * A clock that reads the wall clock once, when it is created, and adds the time that the monotonic clock has measured
+ * since. A step of the wall clock therefore does not move the deadlines of requests in flight.
  */
 public final class SystemClock implements Clock {
     private static final int NANOS_PER_MICROSECOND = 1_000;
--- a/src/main/java/loadbalancer/proxy/resources/package-info.java
+++ b/src/main/java/loadbalancer/proxy/resources/package-info.java
@@ -1,2 +1,2 @@
-/** Resources that the connections of the process share, and their limits: time, file descriptors and buffers. */
+/** Resources that all connections share, such as the clock, file descriptors and buffers, and limits of connections. */
 package loadbalancer.proxy.resources;
--- a/src/test/java/loadbalancer/proxy/downstream/BacklogTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/BacklogTest.java
@@ -31,10 +31,17 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** A proxy whose event loop was blocked while clients connected, sent requests and disconnected. */
+/**
+ * Behavior of the proxy after its event loop was blocked or busy while clients connected, sent requests and
+ * disconnected. An overloaded proxy must not take upstream capacity for clients that have disconnected, and must not
+ * lose requests that it has not read yet.
+ */
 public class BacklogTest {
 
-    /** Blocks the event loop until the returned latch is released; returns once the loop is blocked. */
+    /**
+     * Blocks the event loop until the returned latch is released, or for 20 seconds at most. Returns once the loop is
+     * blocked.
+     */
     public static CountDownLatch holdUp(EventLoop loop) throws InterruptedException {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
@@ -50,7 +57,7 @@
         return release;
     }
 
-    /** A decision module that runs an action, on the event loop, before each request event. */
+    /** Wraps a decision module to run an action on the event loop before the module receives each request. */
     private static LoadBalancer withActionBeforeRequests(LoadBalancer delegate, Callable<?> action) {
         return (LoadBalancer) Proxy.newProxyInstance(
                 LoadBalancer.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (instance, method, args) -> {
@@ -65,12 +72,12 @@
                 });
     }
 
-    /** What a client does at a certain moment. */
+    /** An action on the socket of a client, which a test runs at a certain point. */
     private interface ClientAction {
         void run(Socket client) throws IOException;
     }
 
-    /** Runs the action for the next client once it is set, and unsets it. */
+    /** Returns a callable that runs the action for the client in the reference, if any, and clears the reference. */
     private static Callable<?> oneTimeAction(AtomicReference<Socket> nextClient, ClientAction action) {
         return () -> {
             Socket client = nextClient.getAndSet(null);
@@ -85,20 +92,20 @@
     void requestOfADisconnectedClientIsNotForwarded() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
                 ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
-            Socket disconnects = proxy.connect();
+            Socket disconnectingClient = proxy.connect();
             assertEquals(
                     200,
-                    ProxyFixture.ask(disconnects, HttpMessages.page("before")).status());
+                    ProxyFixture.ask(disconnectingClient, HttpMessages.page("before")).status());
             CountDownLatch release = holdUp(proxy.loop);
-            ProxyFixture.write(disconnects, HttpMessages.page("left"));
-            disconnects.close();
-            Socket connectsAndDisconnects = proxy.connect();
-            ProxyFixture.write(connectsAndDisconnects, HttpMessages.page("left too"));
-            connectsAndDisconnects.close();
-            Socket stays = proxy.connect();
-            ProxyFixture.write(stays, HttpMessages.page("stays"));
+            ProxyFixture.write(disconnectingClient, HttpMessages.page("left"));
+            disconnectingClient.close();
+            Socket shortLivedClient = proxy.connect();
+            ProxyFixture.write(shortLivedClient, HttpMessages.page("left too"));
+            shortLivedClient.close();
+            Socket connectedClient = proxy.connect();
+            ProxyFixture.write(connectedClient, HttpMessages.page("stays"));
             release.countDown();
-            assertEquals(200, HttpMessages.read(stays.getInputStream()).status());
+            assertEquals(200, HttpMessages.read(connectedClient.getInputStream()).status());
             assertEquals(
                     "before",
                     ScriptedHttpServer.next(upstream.requests).headers().get("x-txn"));
@@ -113,8 +120,8 @@
     }
 
     @Test
-    void requestIsNotForwardedIfItsClientDisconnectsDuringEarlierEvents() throws Exception {
-        AtomicReference<Socket> disconnectsNow = new AtomicReference<>();
+    void requestIsNotForwardedIfItsClientDisconnectsWhileAnEarlierRequestIsProcessed() throws Exception {
+        AtomicReference<Socket> nextToDisconnect = new AtomicReference<>();
         CountDownLatch bothRequests = new CountDownLatch(2);
         try (ScriptedHttpServer upstream = new ScriptedHttpServer((request, peer) -> {
                     bothRequests.countDown();
@@ -123,24 +130,26 @@
                 });
                 ProxyFixture proxy = ProxyFixture.quiet()) {
             proxy.module = actions -> withActionBeforeRequests(
-                    new ServiceQLoadBalancer(proxy.settings, 7, actions), oneTimeAction(disconnectsNow, Socket::close));
+                    new ServiceQLoadBalancer(proxy.settings, 7, actions),
+                    oneTimeAction(nextToDisconnect, Socket::close));
             proxy.start(upstream);
-            // An upstream connection for each request: none waits for a connect, in which the disconnect would be read.
-            Socket stays = proxy.connect();
-            ProxyFixture.write(stays, HttpMessages.page("before"));
-            Socket disconnects = proxy.connect();
+            // Opens an upstream connection for each request below. Otherwise, a request would wait for a connect, and
+            // the proxy would detect the disconnect meanwhile.
+            Socket connectedClient = proxy.connect();
+            ProxyFixture.write(connectedClient, HttpMessages.page("before"));
+            Socket disconnectingClient = proxy.connect();
             assertEquals(
                     200,
-                    ProxyFixture.ask(disconnects, HttpMessages.page("before too"))
+                    ProxyFixture.ask(disconnectingClient, HttpMessages.page("before too"))
                             .status());
-            assertEquals(200, HttpMessages.read(stays.getInputStream()).status());
+            assertEquals(200, HttpMessages.read(connectedClient.getInputStream()).status());
             upstream.requests.clear();
             CountDownLatch release = holdUp(proxy.loop);
-            ProxyFixture.write(stays, HttpMessages.page("stays"));
-            ProxyFixture.write(disconnects, HttpMessages.page("left"));
-            disconnectsNow.set(disconnects);
+            ProxyFixture.write(connectedClient, HttpMessages.page("stays"));
+            ProxyFixture.write(disconnectingClient, HttpMessages.page("left"));
+            nextToDisconnect.set(disconnectingClient);
             release.countDown();
-            assertEquals(200, HttpMessages.read(stays.getInputStream()).status());
+            assertEquals(200, HttpMessages.read(connectedClient.getInputStream()).status());
             assertEquals(200, proxy.ask(HttpMessages.page("after")).status());
             assertEquals(
                     "stays",
@@ -152,23 +161,23 @@
     }
 
     @Test
-    void queuedRequestIsNotForwardedIfItsClientDisconnectsAsCapacityIsReleased() throws Exception {
+    void queuedRequestIsNotForwardedIfItsClientDisconnectsWhenCapacityIsReleased() throws Exception {
         try (ScriptedHttpServer upstream = new ScriptedHttpServer((request, peer) -> {});
                 ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
-            // As many as the initial concurrency limit of an endpoint; the next request is queued.
+            // These requests reach the initial concurrency limit of the endpoint, so that the next request is queued.
             for (int i = 0; i < 4; i++) {
                 ProxyFixture.write(proxy.connect(), HttpMessages.page("/api/p", "t" + i, "60000m"));
                 ScriptedHttpServer.next(upstream.requests);
             }
-            Socket disconnects = proxy.connect();
-            ProxyFixture.write(disconnects, HttpMessages.page("/api/p", "left", "60000m"));
+            Socket disconnectingClient = proxy.connect();
+            ProxyFixture.write(disconnectingClient, HttpMessages.page("/api/p", "left", "60000m"));
             proxy.awaitRead();
             CountDownLatch release = holdUp(proxy.loop);
-            // The response is sent first, so that it is read before the end of the client's connection.
+            // The response is sent first, so that the proxy reads it before it detects the disconnect.
             ScriptedHttpServer.next(upstream.peers).write(HttpMessages.ok("x"));
-            disconnects.close();
-            Socket stays = proxy.connect();
-            ProxyFixture.write(stays, HttpMessages.page("/api/p", "stays", "60000m"));
+            disconnectingClient.close();
+            Socket connectedClient = proxy.connect();
+            ProxyFixture.write(connectedClient, HttpMessages.page("/api/p", "stays", "60000m"));
             release.countDown();
             assertEquals(
                     "stays",
@@ -178,29 +187,29 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void requestIsNotForwardedIfItsClientDisconnectsWhileConnecting(boolean cancellationEnabled) throws Exception {
+    void requestIsNotForwardedIfItsClientDisconnectsDuringConnect(boolean cancellationEnabled) throws Exception {
         try (HangingListener hanging = new HangingListener();
                 ProxyFixture proxy = ProxyFixture.quiet()) {
             proxy.settings.cancellationEnabled = cancellationEnabled;
             proxy.settings.connectTimeoutUs = 20_000_000;
             proxy.startKnowing(ProxyFixture.list(1, true, "s0=" + hanging.endpoint() + "=Ready"));
-            Socket disconnects = proxy.connect();
-            ProxyFixture.write(disconnects, HttpMessages.order("left", "60000m"));
+            Socket disconnectingClient = proxy.connect();
+            ProxyFixture.write(disconnectingClient, HttpMessages.order("left", "60000m"));
             proxy.awaitRead();
-            disconnects.close();
-            Socket stays = proxy.connect();
-            ProxyFixture.write(stays, HttpMessages.order("stays", "60000m"));
+            disconnectingClient.close();
+            Socket connectedClient = proxy.connect();
+            ProxyFixture.write(connectedClient, HttpMessages.order("stays", "60000m"));
             proxy.awaitRead();
             hanging.makeRoom();
-            Set<String> sent = new HashSet<>();
-            while (!sent.contains("stays")) {
+            Set<String> forwardedIds = new HashSet<>();
+            while (!forwardedIds.contains("stays")) {
                 Socket accepted = hanging.accept();
                 HttpMessages.Message request = HttpMessages.read(accepted.getInputStream());
-                sent.add(request.headers().get("x-txn"));
+                forwardedIds.add(request.headers().get("x-txn"));
                 accepted.getOutputStream().write(HttpMessages.ok("x").getBytes(StandardCharsets.US_ASCII));
             }
-            assertEquals(Set.of("stays"), sent);
-            assertEquals(200, HttpMessages.read(stays.getInputStream()).status());
+            assertEquals(Set.of("stays"), forwardedIds);
+            assertEquals(200, HttpMessages.read(connectedClient.getInputStream()).status());
         }
     }
 
@@ -215,7 +224,7 @@
             proxy.node.beginGracefulShutdown(new ShutdownSchedule(600_000, 20_000_000), () -> {});
             assertEquals(-1, idle.getInputStream().read(), "idle connections are closed");
             CountDownLatch release = holdUp(proxy.loop);
-            // The response is sent first, so that it is forwarded before the second request is read in its turn.
+            // The response is sent first, so that the proxy forwards it before it reads the second request.
             ScriptedHttpServer.next(upstream.peers).write(HttpMessages.ok("x"));
             ProxyFixture.write(client, HttpMessages.page("second"));
             release.countDown();
@@ -232,17 +241,17 @@
     }
 
     @Test
-    void backlogIsAcceptedInOneTurnOfTheEventLoop() throws Exception {
-        AtomicInteger turns = new AtomicInteger();
-        AtomicBoolean counted = new AtomicBoolean();
+    void backlogIsAcceptedInOneIterationOfTheEventLoop() throws Exception {
+        AtomicInteger iterations = new AtomicInteger();
+        AtomicBoolean isIterationCounted = new AtomicBoolean();
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
                 ProxyFixture proxy = ProxyFixture.quiet()) {
             proxy.module =
                     actions -> withActionBeforeRequests(new ServiceQLoadBalancer(proxy.settings, 7, actions), () -> {
-                        if (counted.compareAndSet(false, true)) {
-                            turns.incrementAndGet();
-                            // A scheduled task runs at the beginning of a later turn.
-                            proxy.loop.schedule(() -> counted.set(false), 1, TimeUnit.NANOSECONDS);
+                        if (isIterationCounted.compareAndSet(false, true)) {
+                            iterations.incrementAndGet();
+                            // A scheduled task runs in a later iteration of the event loop.
+                            proxy.loop.schedule(() -> isIterationCounted.set(false), 1, TimeUnit.NANOSECONDS);
                         }
                         return null;
                     });
@@ -258,31 +267,32 @@
             for (Socket client : clients) {
                 assertEquals(200, HttpMessages.read(client.getInputStream()).status());
             }
-            assertEquals(1, turns.get());
+            assertEquals(1, iterations.get());
         }
     }
 
     @Test
     void connectionWithAnUnreadRequestIsNotEvicted() throws Exception {
-        AtomicReference<Socket> sendsNow = new AtomicReference<>();
+        AtomicReference<Socket> nextToSend = new AtomicReference<>();
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
                 ProxyFixture proxy = ProxyFixture.quiet()) {
             proxy.module = actions -> withActionBeforeRequests(
                     new ServiceQLoadBalancer(proxy.settings, 7, actions),
-                    oneTimeAction(sendsNow, client -> ProxyFixture.write(client, HttpMessages.page("unread"))));
+                    oneTimeAction(nextToSend, client -> ProxyFixture.write(client, HttpMessages.page("unread"))));
             proxy.start(upstream);
-            Socket longest = proxy.connect();
+            Socket longestIdle = proxy.connect();
             assertEquals(
-                    200, ProxyFixture.ask(longest, HttpMessages.page("first")).status());
-            // As many as may be idle; with one more the longest idle one is evicted.
+                    200, ProxyFixture.ask(longestIdle, HttpMessages.page("first")).status());
+            // Reaches the limit on idle connections: one more evicts the longest idle connection.
             for (int i = 1; i < proxy.sockets / 6; i++) {
                 assertEquals(200, proxy.ask(HttpMessages.page("t" + i)).status());
             }
-            sendsNow.set(longest);
-            // Its deadline has passed as it arrives, so that its response and the eviction are in the same turn.
+            nextToSend.set(longestIdle);
+            // The deadline of this request has passed when it arrives, so that the proxy responds and evicts a
+            // connection in the same iteration of the event loop.
             assertEquals(
                     503, proxy.ask(HttpMessages.page("/api/p", "late", "1m")).status());
-            assertEquals(200, HttpMessages.read(longest.getInputStream()).status());
+            assertEquals(200, HttpMessages.read(longestIdle.getInputStream()).status());
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/downstream/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ClientDisconnectTest.java
@@ -10,7 +10,7 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** Clients that disconnect before they have their response. */
+/** Clients that disconnect before they have received their response. */
 class ClientDisconnectTest {
     @Test
     void attemptIsAbandonedWhenItsClientDisconnects() throws Exception {
--- a/src/test/java/loadbalancer/proxy/downstream/ClientRequestParserTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ClientRequestParserTest.java
@@ -17,7 +17,7 @@
 import loadbalancer.policy.LoadBalancerSettings;
 import loadbalancer.policy.RequestClass;
 
-/** Values that the parser reads from the headers of a request, and its errors. */
+/** Values that the parser reads from request headers, and errors for missing or invalid headers. */
 class ClientRequestParserTest {
     @ParameterizedTest
     @CsvSource({
@@ -32,10 +32,10 @@
         "60000m, 59850000"
     })
     void remainingTimeExcludesTheTimeForTheResponse(String header, long remainingUs) throws Exception {
-        assertEquals(remainingUs, ClientRequestParser.remainingUs(header));
+        assertEquals(remainingUs, ClientRequestParser.parseRemainingUs(header));
     }
 
-    private static BadRequestException errorOf(HttpMethod method, String... headers) {
+    private static BadRequestException parseError(HttpMethod method, String... headers) {
         LoadBalancerSettings settings = new LoadBalancerSettings();
         settings.classes.add(new RequestClass(
                 "page", 1_000_000, 0, 5_000_000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false));
@@ -58,24 +58,24 @@
 
     @Test
     void errorNamesTheMissingHeader() {
-        assertError("X-Txn", null, "is missing", "X-Txn is missing", errorOf(HttpMethod.GET, "X-Lane: page"));
+        assertError("X-Txn", null, "is missing", "X-Txn is missing", parseError(HttpMethod.GET, "X-Lane: page"));
     }
 
     @Test
     void errorHasTheValuesOfARepeatedHeader() {
-        BadRequestException error = errorOf(HttpMethod.GET, "X-Txn: t", "X-Txn: u");
+        BadRequestException error = parseError(HttpMethod.GET, "X-Txn: t", "X-Txn: u");
         assertError("X-Txn", "t, u", "is given twice", "X-Txn is given twice", error);
     }
 
     @Test
     void errorHasTheUnreadableValue() {
-        BadRequestException error = errorOf(HttpMethod.GET, "X-Txn: t", "X-Lane: page", "X-Remaining: soon");
+        BadRequestException error = parseError(HttpMethod.GET, "X-Txn: t", "X-Lane: page", "X-Remaining: soon");
         assertError("X-Remaining", "soon", "cannot be read", "X-Remaining cannot be read", error);
     }
 
     @Test
     void errorNamesTheClassThatDoesNotPermitTheMethod() {
-        BadRequestException error = errorOf(HttpMethod.POST, "X-Txn: t", "X-Lane: page", "X-Remaining: 400m");
+        BadRequestException error = parseError(HttpMethod.POST, "X-Txn: t", "X-Lane: page", "X-Remaining: 400m");
         String reason = "does not go with the method";
         assertError("X-Lane", "page", reason, "the class does not go with the method", error);
     }
--- a/src/test/java/loadbalancer/proxy/downstream/ClientTimeoutTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ClientTimeoutTest.java
@@ -28,17 +28,17 @@
             Socket silent = proxy.connect();
             Socket headOnly = proxy.connect();
             ProxyFixture.write(headOnly, "POST /api/order HTTP/1.1\r\nX-Txn: a\r\n");
-            Socket bodyToCome = proxy.connect();
-            ProxyFixture.write(bodyToCome, HttpMessages.order("b", "4000m").replace("\r\nab", "\r\na"));
-            Socket second = proxy.connect();
-            assertEquals(200, ProxyFixture.ask(second, HttpMessages.page("c")).status());
-            ProxyFixture.write(second, "GET /api");
+            Socket partialBody = proxy.connect();
+            ProxyFixture.write(partialBody, HttpMessages.order("b", "4000m").replace("\r\nab", "\r\na"));
+            Socket partialSecondRequest = proxy.connect();
+            assertEquals(200, ProxyFixture.ask(partialSecondRequest, HttpMessages.page("c")).status());
+            ProxyFixture.write(partialSecondRequest, "GET /api");
             Socket idle = proxy.connect();
             assertEquals(200, ProxyFixture.ask(idle, HttpMessages.page("d")).status());
             assertEquals(-1, silent.getInputStream().read());
-            for (Socket late : new Socket[] {headOnly, bodyToCome, second}) {
-                assertEquals(408, HttpMessages.read(late.getInputStream()).status());
-                assertEquals(-1, late.getInputStream().read());
+            for (Socket stalled : new Socket[] {headOnly, partialBody, partialSecondRequest}) {
+                assertEquals(408, HttpMessages.read(stalled.getInputStream()).status());
+                assertEquals(-1, stalled.getInputStream().read());
             }
             assertEquals(-1, idle.getInputStream().read());
             assertEquals(2, upstream.requests.size());
@@ -47,9 +47,9 @@
 
     @Test
     void partialRequestAfterAnOpenOneGets408AfterItsOwnReadTimeout() throws Exception {
-        CountDownLatch first = new CountDownLatch(1);
+        CountDownLatch respond = new CountDownLatch(1);
         SteppedClock clock = new SteppedClock();
-        try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(first, "x");
+        try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(respond, "x");
                 ProxyFixture proxy = ProxyFixture.quiet()) {
             proxy.clock = clock;
             proxy.start(upstream);
@@ -58,9 +58,9 @@
             ScriptedHttpServer.next(upstream.requests);
             proxy.awaitRead();
             clock.advance(TimeUnit.MILLISECONDS.toMicros(ConnectionLimits.READ_TIMEOUT_MS) + 1);
-            first.countDown();
+            respond.countDown();
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
-            // Its read timeout has passed before that response and does not begin again.
+            // The read timeout of the partial request is over before that response, and must not start again after it.
             client.setSoTimeout(1_500);
             assertEquals(408, HttpMessages.read(client.getInputStream()).status());
             assertEquals(-1, client.getInputStream().read());
@@ -77,7 +77,7 @@
             int sent = 0;
             do {
                 ProxyFixture.write(client, HttpMessages.page("/api/p", "t" + sent++, "5000m"));
-                // The socket buffers hold a few MB at most; then the response before stays unwritten.
+                // The socket buffers hold a few MB at most. Once they are full, the proxy cannot write a response.
             } while (upstream.requests.poll(1, TimeUnit.SECONDS) != null && sent < 1_000);
             assertTrue(sent < 1_000, "sent " + sent);
             // Once the proxy has closed the connection, writing fails.
--- a/src/test/java/loadbalancer/proxy/downstream/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ConnectionCloseTest.java
@@ -22,14 +22,17 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** Bytes and connections that arrive while a connection or the listener closes. */
+/**
+ * Bytes and connections that arrive while a connection or the listener closes. Closing a socket with unread bytes would
+ * reset the connection and could lose a response; closing the listener would reset the connections of the backlog.
+ */
 @Timeout(60)
 class ConnectionCloseTest {
     private static final int CHUNK_BYTES = 64 << 10;
     private static final int MAX_CHUNKS = 1_000;
 
-    /** Writes until the proxy has stopped reading: nothing more can be written although its event loop runs. */
-    static void assertReadsNoMore(ProxyFixture proxy, SocketChannel client) throws IOException {
+    /** Writes until the proxy reads no more: nothing can be written even after an iteration of its event loop. */
+    static void assertProxyStopsReading(ProxyFixture proxy, SocketChannel client) throws IOException {
         ByteBuffer requests =
                 ByteBuffer.wrap(HttpMessages.page("t").repeat(CHUNK_BYTES / 100).getBytes(StandardCharsets.US_ASCII));
         client.configureBlocking(false);
@@ -41,7 +44,7 @@
                 }
             }
         }
-        throw new AssertionError("all of " + MAX_CHUNKS + " chunks were read");
+        throw new AssertionError("the proxy still reads after " + MAX_CHUNKS + " chunks");
     }
 
     @Test
@@ -53,7 +56,7 @@
                     client.socket(), HttpMessages.page("t").replace("X-Org", "Connection: close\r\nX-Org"));
             assertEquals(200, last.status());
             assertEquals(-1, client.socket().getInputStream().read());
-            assertReadsNoMore(proxy, client);
+            assertProxyStopsReading(proxy, client);
             assertEquals(1, upstream.requests.size());
         }
     }
@@ -67,10 +70,10 @@
                     ProxyFixture.ask(client, HttpMessages.page("t").replace("X-Org", "Connection: close\r\nX-Org"));
             assertEquals(200, last.status());
             assertEquals(-1, client.getInputStream().read());
-            // Had the proxy closed the socket, the first of these would be reset and the next would fail.
-            for (String txn : new String[] {"u", "v"}) {
+            // If the proxy had closed the socket, the first request would cause a reset and the next write would fail.
+            for (String transactionId : new String[] {"u", "v"}) {
                 proxy.awaitRead();
-                ProxyFixture.write(client, HttpMessages.page(txn));
+                ProxyFixture.write(client, HttpMessages.page(transactionId));
             }
             proxy.awaitRead();
             assertEquals(1, upstream.requests.size(), "no further request is served");
@@ -87,16 +90,16 @@
             client.connect(proxy.address());
             ProxyFixture.write(client.socket(), HttpMessages.page("t").replace("X-Org", "Connection: close\r\nX-Org"));
             ScriptedHttpServer.next(upstream.peers);
-            // Its first byte has arrived, and the client reads no further one.
+            // The client reads only the first byte, so that the response stays partly unwritten.
             client.socket().getInputStream().read();
-            assertReadsNoMore(proxy, client);
+            assertProxyStopsReading(proxy, client);
         }
     }
 
-    /** The backlog is larger than what one turn of the event loop accepts. */
+    /** The backlog is larger than the number of connections that one iteration of the event loop accepts. */
     @Test
     void backlogIsServedWhenTheListenerCloses() throws Exception {
-        int backlog = ConnectionLimits.MAX_ACCEPTS_PER_TURN + 36;
+        int backlog = ConnectionLimits.MAX_ACCEPTS_PER_ITERATION + 36;
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
                 ProxyFixture proxy = ProxyFixture.quiet()) {
             proxy.sockets = 1_024;
@@ -117,17 +120,17 @@
         }
     }
 
-    /** A listener whose first calls to accept fail, as for a lack of descriptors. */
+    /** A listener whose first accepts fail as if no descriptor were left. */
     private static final class FailingListener extends ClientListener {
-        private final AtomicInteger failures;
+        private final AtomicInteger remainingFailures;
 
-        FailingListener(AtomicInteger failures) {
-            this.failures = failures;
+        FailingListener(AtomicInteger remainingFailures) {
+            this.remainingFailures = remainingFailures;
         }
 
         @Override
         protected SocketChannel acceptSocket() throws IOException {
-            if (failures.getAndDecrement() > 0) {
+            if (remainingFailures.getAndDecrement() > 0) {
                 throw new IOException("Too many open files in system");
             }
             return super.acceptSocket();
@@ -136,16 +139,16 @@
 
     @Test
     void acceptingResumesSoonAfterAnError() throws Exception {
-        AtomicInteger failures = new AtomicInteger(4);
+        AtomicInteger remainingFailures = new AtomicInteger(4);
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
                 ProxyFixture proxy = ProxyFixture.quiet()) {
-            proxy.listeners = () -> new FailingListener(failures);
+            proxy.listeners = () -> new FailingListener(remainingFailures);
             proxy.start(upstream);
             Socket client = proxy.connect();
-            // Under the second for which Netty itself would stop accepting at the first failure.
+            // Shorter than the one second for which Netty's own handler stops accepting after a failure.
             client.setSoTimeout(900);
             assertEquals(200, ProxyFixture.ask(client, HttpMessages.page("t")).status());
-            assertTrue(failures.get() < 0);
+            assertTrue(remainingFailures.get() < 0);
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/downstream/ConnectionDrainingTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ConnectionDrainingTest.java
@@ -17,9 +17,9 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** Connections of clients in a graceful shutdown. */
+/** Client connections in a graceful shutdown. */
 class ConnectionDrainingTest {
-    /** Requests are accepted for a short time only, and responses have a long time. */
+    /** A short time in which requests are accepted, and a long time for their responses. */
     private static final ShutdownSchedule SHORT_REQUEST_TIME = new ShutdownSchedule(600_000, 20_000_000);
 
     @Test
@@ -32,21 +32,21 @@
             Socket idle = proxy.connect();
             ProxyFixture.write(client, HttpMessages.page("/api/x", "t", "5000m"));
             ScriptedHttpServer.next(upstream.requests);
-            CountDownLatch done = new CountDownLatch(1);
-            proxy.node.beginGracefulShutdown(new ShutdownSchedule(600_000, 20_000_000), done::countDown);
+            CountDownLatch closed = new CountDownLatch(1);
+            proxy.node.beginGracefulShutdown(new ShutdownSchedule(600_000, 20_000_000), closed::countDown);
             HttpMessages.Message up = proxy.ask(HttpMessages.UP);
             assertEquals(503, up.status());
             assertEquals("close", up.headers().get("connection"));
-            // The end of an idle connection shows that no new one is accepted; open requests are still served.
+            // The proxy closes idle connections once it accepts no new ones. Open requests are still served.
             assertEquals(-1, idle.getInputStream().read());
             proxy.awaitNoneTaken();
-            assertEquals(1, done.getCount());
+            assertEquals(1, closed.getCount());
             respond.countDown();
             HttpMessages.Message last = HttpMessages.read(client.getInputStream());
             assertEquals("late", last.body());
             assertEquals("close", last.headers().get("connection"));
             assertEquals(-1, client.getInputStream().read());
-            assertTrue(done.await(20, TimeUnit.SECONDS));
+            assertTrue(closed.await(20, TimeUnit.SECONDS));
         }
     }
 
@@ -72,42 +72,42 @@
     void partialRequestIsServedInAGracefulShutdown() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
                 ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
-            Socket half = proxy.connect();
+            Socket partialRequestClient = proxy.connect();
             String order = HttpMessages.order("t", "5000m");
-            ProxyFixture.write(half, order.substring(0, order.length() - 1));
+            ProxyFixture.write(partialRequestClient, order.substring(0, order.length() - 1));
             Socket idle = proxy.connect();
             assertEquals(
                     200, ProxyFixture.ask(idle, HttpMessages.page("before")).status());
             proxy.node.beginGracefulShutdown(SHORT_REQUEST_TIME, () -> {});
             assertEquals(-1, idle.getInputStream().read(), "idle connections are closed");
-            ProxyFixture.write(half, order.substring(order.length() - 1));
-            HttpMessages.Message response = HttpMessages.read(half.getInputStream());
+            ProxyFixture.write(partialRequestClient, order.substring(order.length() - 1));
+            HttpMessages.Message response = HttpMessages.read(partialRequestClient.getInputStream());
             assertEquals(200, response.status());
             assertEquals("close", response.headers().get("connection"));
-            assertEquals(-1, half.getInputStream().read());
+            assertEquals(-1, partialRequestClient.getInputStream().read());
         }
     }
 
     @Test
     @Timeout(60)
     void pipelinedRequestsAreServedInAGracefulShutdown() throws Exception {
-        CountDownLatch first = new CountDownLatch(1);
-        try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(first, "x");
+        CountDownLatch respond = new CountDownLatch(1);
+        try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(respond, "x");
                 ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(
                     client, HttpMessages.page("/api/p", "a", "20000m") + HttpMessages.page("/api/p", "b", "20000m"));
             ScriptedHttpServer.next(upstream.requests);
             Socket idle = proxy.connect();
-            CountDownLatch done = new CountDownLatch(1);
-            proxy.node.beginGracefulShutdown(SHORT_REQUEST_TIME, done::countDown);
+            CountDownLatch closed = new CountDownLatch(1);
+            proxy.node.beginGracefulShutdown(SHORT_REQUEST_TIME, closed::countDown);
             assertEquals(-1, idle.getInputStream().read(), "idle connections are closed");
-            first.countDown();
+            respond.countDown();
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
             HttpMessages.Message last = HttpMessages.read(client.getInputStream());
             assertEquals(200, last.status());
             assertEquals("close", last.headers().get("connection"));
-            assertTrue(done.await(20, TimeUnit.SECONDS));
+            assertTrue(closed.await(20, TimeUnit.SECONDS));
         }
     }
 
@@ -119,11 +119,11 @@
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.order("t", "3600000m"));
             ScriptedHttpServer.next(upstream.requests);
-            CountDownLatch done = new CountDownLatch(1);
-            proxy.node.beginGracefulShutdown(new ShutdownSchedule(600_000, 700_000), done::countDown);
+            CountDownLatch closed = new CountDownLatch(1);
+            proxy.node.beginGracefulShutdown(new ShutdownSchedule(600_000, 700_000), closed::countDown);
             assertEquals(504, HttpMessages.read(client.getInputStream()).status());
             ScriptedHttpServer.next(upstream.ended);
-            assertTrue(done.await(20, TimeUnit.SECONDS));
+            assertTrue(closed.await(20, TimeUnit.SECONDS));
         }
     }
 
@@ -133,7 +133,7 @@
                 ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
             Socket client = proxy.connect();
             proxy.node.beginGracefulShutdown(new ShutdownSchedule(20_000_000, 400_000), () -> {});
-            // The request's own deadline is later than the client's read timeout.
+            // The deadline of the request is later than the read timeout of the client.
             assertTrue(
                     ProxyFixture.ask(client, HttpMessages.order("t", "60000m")).status() >= 500);
         }
@@ -144,9 +144,9 @@
     void shutdownBeforeListeningCompletesAndPreventsListening() throws Exception {
         try (ProxyFixture proxy = ProxyFixture.quiet()) {
             ProxyNode node = new ProxyNode(proxy.config(ProxyFixture.list(1, true)), proxy.loop, proxy.dependencies());
-            CountDownLatch done = new CountDownLatch(1);
-            node.beginGracefulShutdown(SHORT_REQUEST_TIME, done::countDown);
-            assertTrue(done.await(20, TimeUnit.SECONDS));
+            CountDownLatch closed = new CountDownLatch(1);
+            node.beginGracefulShutdown(SHORT_REQUEST_TIME, closed::countDown);
+            assertTrue(closed.await(20, TimeUnit.SECONDS));
             assertFalse(node.start().await().isSuccess());
         }
     }
--- a/src/test/java/loadbalancer/proxy/downstream/ConnectionEvictionTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ConnectionEvictionTest.java
@@ -16,7 +16,7 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** Connections that are evicted for others. */
+/** Client connections that are evicted to free their descriptors for others. */
 class ConnectionEvictionTest {
     @Test
     void longestIdleConnectionIsEvictedForANewOne() throws Exception {
@@ -38,19 +38,19 @@
     void numberOfIdleConnectionsIsLimited() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
                 ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
-            Socket usual = proxy.connect();
+            Socket activeClient = proxy.connect();
             Socket first = proxy.connect();
             assertEquals(
                     200, ProxyFixture.ask(first, HttpMessages.page("first")).status());
-            // Far fewer connections than the descriptors allow.
+            // Exceeds the limit on idle connections with far fewer connections than the descriptors allow.
             for (int i = 0; i < proxy.sockets / 6; i++) {
                 assertEquals(
-                        200, ProxyFixture.ask(usual, HttpMessages.page("u" + i)).status());
+                        200, ProxyFixture.ask(activeClient, HttpMessages.page("u" + i)).status());
                 assertEquals(200, proxy.ask(HttpMessages.page("t" + i)).status());
             }
             first.setSoTimeout(2_000);
             assertEquals(-1, first.getInputStream().read(), "evicted long before the keep-alive timeout");
-            assertEquals(200, ProxyFixture.ask(usual, HttpMessages.page("last")).status());
+            assertEquals(200, ProxyFixture.ask(activeClient, HttpMessages.page("last")).status());
         }
     }
 
@@ -83,7 +83,7 @@
                 HttpMessages.read(client.getInputStream());
                 client.setSoTimeout(1);
             }
-            // Which connections are evicted depends on the order of the responses.
+            // The order of the responses decides which connections are evicted.
             while (clients.size() > maxIdle) {
                 clients.removeIf(ConnectionEvictionTest::isClosed);
             }
@@ -99,14 +99,14 @@
                 ProxyFixture proxy = ProxyFixture.quiet()) {
             proxy.sockets = 64;
             proxy.start(upstream);
-            Socket usual = proxy.connect();
-            assertEquals(200, ProxyFixture.ask(usual, HttpMessages.page("a")).status());
-            Socket silent = proxy.connect();
+            Socket activeClient = proxy.connect();
+            assertEquals(200, ProxyFixture.ask(activeClient, HttpMessages.page("a")).status());
+            Socket unused = proxy.connect();
             for (int i = 0; i < 100; i++) {
                 proxy.connect();
             }
-            assertEquals(-1, silent.getInputStream().read());
-            assertEquals(200, ProxyFixture.ask(usual, HttpMessages.page("b")).status());
+            assertEquals(-1, unused.getInputStream().read());
+            assertEquals(200, ProxyFixture.ask(activeClient, HttpMessages.page("b")).status());
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/downstream/ConnectionPhaseTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ConnectionPhaseTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Transitions between the phases of a connection, its input and the server. */
+/** Transitions between the phases of a client connection, of its input and of the server. */
 class ConnectionPhaseTest {
     @ParameterizedTest
     @CsvSource({"IDLE, IDLE, CLOSING", "SERVING, IDLE, SERVING_LAST", "SERVING_LAST, CLOSING, SERVING_LAST"})
@@ -42,9 +42,9 @@
 
     @Test
     void serverClosesConnectionsOnlyAfterAShutdownRequest() {
-        assertThrows(IllegalStateException.class, ServerPhase.SERVING::onRequestsEnded);
+        assertThrows(IllegalStateException.class, ServerPhase.SERVING::onServingTimeOver);
         assertEquals(
-                ServerPhase.CLOSING, ServerPhase.SERVING.onShutdownRequested().onRequestsEnded());
+                ServerPhase.CLOSING, ServerPhase.SERVING.onShutdownRequested().onServingTimeOver());
         assertEquals(ServerPhase.CLOSING, ServerPhase.CLOSING.onShutdownRequested());
     }
 }
--- a/src/test/java/loadbalancer/proxy/downstream/DownstreamServerTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/DownstreamServerTest.java
@@ -13,16 +13,16 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** Requests of clients and their responses through the proxy. */
+/** Forwarding of client requests to endpoints and of responses to clients. */
 class DownstreamServerTest {
     @Test
     void requestAndResponseAreForwardedUnchanged() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("proof");
                 ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
-            String photo = "POST /api/7f3a?x=1&y=%20 HTTP/1.1\r\nHost: h\r\nX-Txn: 9b1f\r\nX-Lane: photo\r\n"
+            String request = "POST /api/7f3a?x=1&y=%20 HTTP/1.1\r\nHost: h\r\nX-Txn: 9b1f\r\nX-Lane: photo\r\n"
                     + "X-Org: org\r\nX-Remaining: 480m\r\nIdempotency-Key: 5c0f\r\n"
                     + "Content-Length: 4\r\n\r\nbody";
-            HttpMessages.Message response = proxy.ask(photo);
+            HttpMessages.Message response = proxy.ask(request);
             assertEquals(200, response.status());
             assertEquals("proof", response.body());
             HttpMessages.Message sent = ScriptedHttpServer.next(upstream.requests);
@@ -30,13 +30,13 @@
             assertEquals("9b1f", sent.headers().get("x-txn"));
             assertEquals("5c0f", sent.headers().get("idempotency-key"));
             assertEquals("body", sent.body());
-            long remainingUs = ClientRequestParser.remainingUs(sent.headers().get("x-remaining"));
+            long remainingUs = ClientRequestParser.parseRemainingUs(sent.headers().get("x-remaining"));
             assertTrue(remainingUs > 0 && remainingUs < 480_000, "remaining " + remainingUs);
         }
     }
 
     @Test
-    void upstreamDeadlinePrecedesThatOfTheClient() throws Exception {
+    void remainingTimeSentUpstreamExcludesTheTimeForTheResponse() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
                 ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
             assertEquals(
--- a/src/test/java/loadbalancer/proxy/downstream/HangingListener.java
+++ b/src/test/java/loadbalancer/proxy/downstream/HangingListener.java
@@ -7,7 +7,7 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 
-/** A listener whose backlog is full: connects to it complete only once it accepts connections. */
+/** A listener with a full backlog. Further connects complete only after it has accepted connections. */
 public final class HangingListener implements AutoCloseable {
     private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     private final Socket firstInBacklog = new Socket(listener.getInetAddress(), listener.getLocalPort());
@@ -19,7 +19,7 @@
         listener.setSoTimeout(20_000);
     }
 
-    /** The address and port, as in an endpoint list. */
+    /** Returns the address and port in the format of an endpoint list. */
     public String endpoint() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
--- a/src/test/java/loadbalancer/proxy/downstream/InvalidRequestTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/InvalidRequestTest.java
@@ -13,7 +13,10 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** Requests that violate the protocol or its limits. */
+/**
+ * Requests that violate the protocol or its limits. They must not reach an endpoint, and the bytes after them must not
+ * be treated as a further request.
+ */
 class InvalidRequestTest {
     @ParameterizedTest
     @ValueSource(
@@ -52,7 +55,7 @@
     }
 
     @Test
-    void bodyOver64KiBGets413AndOneOfExactlyThatIsForwarded() throws Exception {
+    void bodyOver64KiBGets413AndBodyOfExactly64KiBIsForwarded() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
                 ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
             String order = HttpMessages.order("t", "4000m");
@@ -129,7 +132,7 @@
             ProxyFixture.write(client, HttpMessages.page("/api/p", "t", "5000m"));
             ScriptedHttpServer.next(upstream.requests);
             ProxyFixture.write(client, HttpMessages.order("u", "4000m").replace("Length: 2", "Length: 90000"));
-            // Once a later request has its response, the proxy has read this one.
+            // Waits until the proxy has read the oversized request.
             proxy.awaitRead();
             respond.countDown();
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
--- a/src/test/java/loadbalancer/proxy/downstream/RequestPipeliningTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/RequestPipeliningTest.java
@@ -13,7 +13,7 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** Pipelined requests: their order, and the limit up to which they are read. */
+/** Pipelined requests: the order of their responses, and the limits beyond which the proxy pauses reading. */
 @Timeout(60)
 class RequestPipeliningTest {
     @Test
@@ -23,8 +23,8 @@
                 ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.page("a") + HttpMessages.page("b") + HttpMessages.page("c"));
-            for (String txn : new String[] {"a", "b", "c"}) {
-                assertEquals(txn, HttpMessages.read(client.getInputStream()).body());
+            for (String transactionId : new String[] {"a", "b", "c"}) {
+                assertEquals(transactionId, HttpMessages.read(client.getInputStream()).body());
             }
         }
     }
@@ -37,8 +37,8 @@
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.page("/api/x", "open", "5000m"));
             ScriptedHttpServer.next(upstream.requests);
-            for (String txn : new String[] {"a", "b"}) {
-                ProxyFixture.write(client, HttpMessages.order(txn, "5000m", "a".repeat(40_000)));
+            for (String transactionId : new String[] {"a", "b"}) {
+                ProxyFixture.write(client, HttpMessages.order(transactionId, "5000m", "a".repeat(40_000)));
             }
             proxy.awaitRead();
             respond.countDown();
@@ -51,9 +51,9 @@
 
     @Test
     void allPipelinedRequestsGetResponses() throws Exception {
-        CountDownLatch first = new CountDownLatch(1);
+        CountDownLatch respond = new CountDownLatch(1);
         int requests = 300;
-        try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(first, "x");
+        try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(respond, "x");
                 ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
             Socket client = proxy.connect();
             StringBuilder pipelined = new StringBuilder();
@@ -63,7 +63,7 @@
             ProxyFixture.write(client, pipelined.toString());
             ScriptedHttpServer.next(upstream.requests);
             proxy.awaitRead();
-            first.countDown();
+            respond.countDown();
             for (int i = 0; i < requests; i++) {
                 assertEquals(200, HttpMessages.read(client.getInputStream()).status());
             }
@@ -78,7 +78,7 @@
                 SocketChannel client = SocketChannel.open(proxy.address())) {
             ProxyFixture.write(client.socket(), HttpMessages.page("open"));
             ScriptedHttpServer.next(upstream.requests);
-            ConnectionCloseTest.assertReadsNoMore(proxy, client);
+            ConnectionCloseTest.assertProxyStopsReading(proxy, client);
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/logging/EventLogTest.java
+++ b/src/test/java/loadbalancer/proxy/logging/EventLogTest.java
@@ -18,7 +18,10 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** The log while standard error blocks or fails, and the form of its lines. */
+/**
+ * The log while standard error blocks or fails, and the format of log lines. A blocked standard error must not block
+ * the event loop, and a failed write must not end the log.
+ */
 @Timeout(60)
 class EventLogTest {
 
@@ -37,7 +40,7 @@
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
                 ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
             ScriptedHttpServer.next(proxy.discovery.peers).reset();
-            // The end of the watch is logged, and the writer thread is blocked now.
+            // The proxy logs that the watch has closed, which blocks the writer thread.
             blocked.await();
             assertEquals(200, proxy.ask(HttpMessages.page("t")).status());
         } finally {
@@ -51,13 +54,13 @@
         BlockingQueue<String> written = new LinkedBlockingQueue<>();
         PrintStream standardError = System.err;
         System.setErr(new PrintStream(OutputStream.nullOutputStream()) {
-            private boolean failed;
+            private boolean hasFailed;
 
             @Override
             public void println(String line) {
-                if (!failed) {
-                    failed = true;
-                    throw new OutOfMemoryError("for the test");
+                if (!hasFailed) {
+                    hasFailed = true;
+                    throw new OutOfMemoryError("simulated");
                 }
                 written.add(line);
             }
@@ -100,18 +103,18 @@
             }
         });
         try {
-            int burst = 200;
-            for (int i = 0; i < burst; i++) {
+            int burstLines = 200;
+            for (int i = 0; i < burstLines; i++) {
                 EventLog.message("a line of many");
             }
-            long dropped = 0;
-            // Twenty lines a second are written, and a burst may span two seconds.
-            while (dropped < burst - 2 * 20) {
-                // The count is written before the next line, in the next second at the latest.
+            long droppedLines = 0;
+            // The log writes at most 20 lines per second, and the burst may span two seconds.
+            while (droppedLines < burstLines - 2 * 20) {
+                // The number of dropped lines is written before the next line, in the next second at the latest.
                 EventLog.message("a later line");
                 String line = written.poll(50, TimeUnit.MILLISECONDS);
                 if (line != null && line.startsWith("event=log_dropped")) {
-                    dropped += Long.parseLong(line.substring(line.lastIndexOf('=') + 1));
+                    droppedLines += Long.parseLong(line.substring(line.lastIndexOf('=') + 1));
                 }
             }
         } finally {
