--- a/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
@@ -209,7 +209,7 @@
         }
     }
 
-    /** Closes the connection if the client takes too long to send a request or to read the response. */
+    /** Rejects an overdue partial request. Closes the connection if the client has exceeded another timeout. */
     void closeIfTimedOut() {
         reader.rejectIfTimedOut();
         if (openRequest != null || (reader.isClosed() && !phase.isServing())) {
@@ -250,15 +250,15 @@
         return !reader.hasPartialRequest() && channel.hasNoUnreadBytes();
     }
 
-    /** Returns whether a request has arrived in part and there are no unread bytes. */
+    /** Returns whether a request has arrived in part and there are no unread bytes that could complete it. */
     boolean hasStalledRequest() {
         return reader.hasPartialRequest() && channel.hasNoUnreadBytes();
     }
 
     /**
-     * Shuts down the output and gives the client time to close the connection. Closing the socket at once would reset
-     * the connection if more bytes arrive, and a response in transit would be lost. Bytes that arrive are left unread,
-     * so that the client knows that they had no effect; after an invalid request they are read and discarded.
+     * Shuts down the output and gives the client time to close the connection. If the proxy closed the socket at once,
+     * further bytes from the client would reset the connection, and a response in transit would be lost. Further bytes
+     * are left unread, so that the client knows that they had no effect. After an invalid request, they are discarded.
      */
     void closeGracefully(CloseReason reason) {
         logClose(reason.toString());
--- a/src/main/java/loadbalancer/proxy/downstream/ClientConnectionRegistry.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnectionRegistry.java
@@ -9,7 +9,7 @@
 import loadbalancer.proxy.resources.ConnectionLimits;
 import loadbalancer.proxy.resources.DescriptorBudget;
 
-/** The open client connections. Evicts connections to free descriptors for others. */
+/** The open client connections. The registry evicts connections so that other clients can connect. */
 final class ClientConnectionRegistry {
     private final DescriptorBudget descriptors;
     /** Connections that have not received a request yet, the oldest first. */
@@ -50,7 +50,7 @@
         idle.remove(connection);
     }
 
-    /** Returns a copy, which does not change as connections close. */
+    /** Returns a copy of the list of all connections, which does not change when connections close. */
     List<ClientConnection> all() {
         List<ClientConnection> all = new ArrayList<>(unused);
         all.addAll(busy);
@@ -107,7 +107,7 @@
      * Evicts the first connection without pending input. Unread bytes may be a request that an overloaded proxy has not
      * read yet. The connection is removed immediately, because the event that reports its close arrives later.
      *
-     * @return false if all connections have pending input
+     * @return false if there is no such connection
      */
     private static boolean evictFirst(Set<ClientConnection> connections) {
         Iterator<ClientConnection> iterator = connections.iterator();
--- a/src/main/java/loadbalancer/proxy/downstream/ClientRequestParser.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientRequestParser.java
@@ -171,7 +171,12 @@
         return text == null ? 0 : (long) parseNumber(text, HttpProtocol.ESTIMATED_WORK_HEADER, text);
     }
 
-    /** Parses the number in the value of a header, given without the unit. The whole value is for the error. */
+    /**
+     * Parses the number in the value of a header.
+     *
+     * @param digits the value without its unit
+     * @param value the complete value, for the error
+     */
     private static double parseNumber(String digits, String header, String value) throws BadRequestException {
         // Double.parseDouble alone would also accept 1f, 0x1p3, NaN and surrounding whitespace.
         if (NUMBER.matcher(digits).matches()) {
--- a/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
@@ -67,7 +67,7 @@
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new ServerChannelRecvByteBufAllocator()
                                 .maxMessagesPerRead(ConnectionLimits.MAX_ACCEPTS_PER_ITERATION))
-                // Reads until no data is left, so that a disconnect is detected before the request is served.
+                // Reads until the socket is empty, so that a disconnect is detected before a request is served.
                 .childOption(
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new AdaptiveRecvByteBufAllocator()
@@ -102,17 +102,17 @@
         connection.addHandlersTo(channel.pipeline());
     }
 
-    /** Called when a connection receives a request while it serves none. */
+    /** Called by a connection that receives a request while it serves none. */
     void onRequest(ClientConnection connection) {
         connections.onRequest(connection);
     }
 
-    /** Called when all received requests of a connection have a response. */
+    /** Called by a connection when the responses to all its received requests have been written. */
     void onResponseWritten(ClientConnection connection) {
         connections.onResponseWritten(connection);
     }
 
-    /** Called when a connection has closed. */
+    /** Called by a connection when it has closed. */
     void onClosed(ClientConnection connection) {
         connections.onClosed(connection);
         notifyIfClosed();
--- a/src/main/java/loadbalancer/proxy/resources/ConnectionLimits.java
+++ b/src/main/java/loadbalancer/proxy/resources/ConnectionLimits.java
@@ -5,7 +5,7 @@
     /** The maximum size of a request body, as defined by the protocol. */
     public static final int MAX_REQUEST_BODY_BYTES = 64 << 10;
 
-    /** The maximum size of a response body. Endpoints send larger bodies than the protocol allows. */
+    /** The maximum size of a response body. Endpoints send bodies that are larger than the protocol allows. */
     public static final int MAX_RESPONSE_BODY_BYTES = 1 << 20;
 
     /** The maximum total size of all buffered responses: a quarter of the heap. */
--- a/src/main/java/loadbalancer/proxy/resources/DescriptorBudget.java
+++ b/src/main/java/loadbalancer/proxy/resources/DescriptorBudget.java
@@ -16,7 +16,7 @@
 
     private static final int MIN_SOCKETS = 8;
 
-    /** The maximum fraction of the sockets for clients. Requests in flight also need upstream connections. */
+    /** The maximum fraction of the sockets for client connections, because requests also need upstream connections. */
     private static final double MAX_CLIENT_FRACTION = 0.6;
 
     /** The maximum fraction of all descriptors for idle client connections, so that new clients can always connect. */
@@ -74,7 +74,7 @@
         return openSockets < maxSockets;
     }
 
-    /** Returns whether the client connection that was counted last may stay open without an eviction. */
+    /** Returns whether there is room for the counted client connections, including one that was just accepted. */
     public boolean hasCapacityForClient() {
         return openSockets < maxSockets && openClients < MAX_CLIENT_FRACTION * maxSockets;
     }
