--- a/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
@@ -75,10 +75,7 @@
         }
     }
 
-    /**
-     * Handles the head of a request with {@code Expect: 100-continue}: asks for the body if the request would be
-     * served immediately.
-     */
+    /** Sends 100 Continue for a request whose head has arrived, if the request would be served immediately. */
     void onContinueExpected() {
         if (!phase.isServing() && pipeline.isEmpty()) {
             channel.writeAndFlush(ClientResponses.continueResponse());
--- a/src/test/java/loadbalancer/proxy/downstream/BacklogTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/BacklogTest.java
@@ -92,20 +92,22 @@
     void requestOfADisconnectedClientIsNotForwarded() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
                 ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
-            Socket disconnectingClient = proxy.connect();
+            Socket leaving = proxy.connect();
             assertEquals(
                     200,
-                    ProxyFixture.ask(disconnectingClient, HttpMessages.page("before")).status());
+                    ProxyFixture.ask(leaving, HttpMessages.page("before"))
+                            .status());
             CountDownLatch release = holdUp(proxy.loop);
-            ProxyFixture.write(disconnectingClient, HttpMessages.page("left"));
-            disconnectingClient.close();
-            Socket shortLivedClient = proxy.connect();
-            ProxyFixture.write(shortLivedClient, HttpMessages.page("left too"));
-            shortLivedClient.close();
-            Socket connectedClient = proxy.connect();
-            ProxyFixture.write(connectedClient, HttpMessages.page("stays"));
+            ProxyFixture.write(leaving, HttpMessages.page("left"));
+            leaving.close();
+            Socket shortLived = proxy.connect();
+            ProxyFixture.write(shortLived, HttpMessages.page("left too"));
+            shortLived.close();
+            Socket active = proxy.connect();
+            ProxyFixture.write(active, HttpMessages.page("stays"));
             release.countDown();
-            assertEquals(200, HttpMessages.read(connectedClient.getInputStream()).status());
+            assertEquals(
+                    200, HttpMessages.read(active.getInputStream()).status());
             assertEquals(
                     "before",
                     ScriptedHttpServer.next(upstream.requests).headers().get("x-txn"));
@@ -120,7 +122,7 @@
     }
 
     @Test
-    void requestIsNotForwardedIfItsClientDisconnectsWhileAnEarlierRequestIsProcessed() throws Exception {
+    void requestIsNotForwardedIfItsClientDisconnectsDuringEarlierEvents() throws Exception {
         AtomicReference<Socket> nextToDisconnect = new AtomicReference<>();
         CountDownLatch bothRequests = new CountDownLatch(2);
         try (ScriptedHttpServer upstream = new ScriptedHttpServer((request, peer) -> {
@@ -135,21 +137,23 @@
             proxy.start(upstream);
             // Opens an upstream connection for each request below. Otherwise, a request would wait for a connect, and
             // the proxy would detect the disconnect meanwhile.
-            Socket connectedClient = proxy.connect();
-            ProxyFixture.write(connectedClient, HttpMessages.page("before"));
-            Socket disconnectingClient = proxy.connect();
+            Socket active = proxy.connect();
+            ProxyFixture.write(active, HttpMessages.page("before"));
+            Socket leaving = proxy.connect();
             assertEquals(
                     200,
-                    ProxyFixture.ask(disconnectingClient, HttpMessages.page("before too"))
+                    ProxyFixture.ask(leaving, HttpMessages.page("before too"))
                             .status());
-            assertEquals(200, HttpMessages.read(connectedClient.getInputStream()).status());
+            assertEquals(
+                    200, HttpMessages.read(active.getInputStream()).status());
             upstream.requests.clear();
             CountDownLatch release = holdUp(proxy.loop);
-            ProxyFixture.write(connectedClient, HttpMessages.page("stays"));
-            ProxyFixture.write(disconnectingClient, HttpMessages.page("left"));
-            nextToDisconnect.set(disconnectingClient);
+            ProxyFixture.write(active, HttpMessages.page("stays"));
+            ProxyFixture.write(leaving, HttpMessages.page("left"));
+            nextToDisconnect.set(leaving);
             release.countDown();
-            assertEquals(200, HttpMessages.read(connectedClient.getInputStream()).status());
+            assertEquals(
+                    200, HttpMessages.read(active.getInputStream()).status());
             assertEquals(200, proxy.ask(HttpMessages.page("after")).status());
             assertEquals(
                     "stays",
@@ -169,15 +173,15 @@
                 ProxyFixture.write(proxy.connect(), HttpMessages.page("/api/p", "t" + i, "60000m"));
                 ScriptedHttpServer.next(upstream.requests);
             }
-            Socket disconnectingClient = proxy.connect();
-            ProxyFixture.write(disconnectingClient, HttpMessages.page("/api/p", "left", "60000m"));
+            Socket leaving = proxy.connect();
+            ProxyFixture.write(leaving, HttpMessages.page("/api/p", "left", "60000m"));
             proxy.awaitRead();
             CountDownLatch release = holdUp(proxy.loop);
             // The response is sent first, so that the proxy reads it before it detects the disconnect.
             ScriptedHttpServer.next(upstream.peers).write(HttpMessages.ok("x"));
-            disconnectingClient.close();
-            Socket connectedClient = proxy.connect();
-            ProxyFixture.write(connectedClient, HttpMessages.page("/api/p", "stays", "60000m"));
+            leaving.close();
+            Socket active = proxy.connect();
+            ProxyFixture.write(active, HttpMessages.page("/api/p", "stays", "60000m"));
             release.countDown();
             assertEquals(
                     "stays",
@@ -193,12 +197,12 @@
             proxy.settings.cancellationEnabled = cancellationEnabled;
             proxy.settings.connectTimeoutUs = 20_000_000;
             proxy.startKnowing(ProxyFixture.list(1, true, "s0=" + hanging.endpoint() + "=Ready"));
-            Socket disconnectingClient = proxy.connect();
-            ProxyFixture.write(disconnectingClient, HttpMessages.order("left", "60000m"));
+            Socket leaving = proxy.connect();
+            ProxyFixture.write(leaving, HttpMessages.order("left", "60000m"));
             proxy.awaitRead();
-            disconnectingClient.close();
-            Socket connectedClient = proxy.connect();
-            ProxyFixture.write(connectedClient, HttpMessages.order("stays", "60000m"));
+            leaving.close();
+            Socket active = proxy.connect();
+            ProxyFixture.write(active, HttpMessages.order("stays", "60000m"));
             proxy.awaitRead();
             hanging.makeRoom();
             Set<String> forwardedIds = new HashSet<>();
@@ -209,7 +213,8 @@
                 accepted.getOutputStream().write(HttpMessages.ok("x").getBytes(StandardCharsets.US_ASCII));
             }
             assertEquals(Set.of("stays"), forwardedIds);
-            assertEquals(200, HttpMessages.read(connectedClient.getInputStream()).status());
+            assertEquals(
+                    200, HttpMessages.read(active.getInputStream()).status());
         }
     }
 
@@ -280,19 +285,20 @@
                     new ServiceQLoadBalancer(proxy.settings, 7, actions),
                     oneTimeAction(nextToSend, client -> ProxyFixture.write(client, HttpMessages.page("unread"))));
             proxy.start(upstream);
-            Socket longestIdle = proxy.connect();
+            Socket idle = proxy.connect();
             assertEquals(
-                    200, ProxyFixture.ask(longestIdle, HttpMessages.page("first")).status());
+                    200,
+                    ProxyFixture.ask(idle, HttpMessages.page("first")).status());
             // Reaches the limit on idle connections: one more evicts the longest idle connection.
             for (int i = 1; i < proxy.sockets / 6; i++) {
                 assertEquals(200, proxy.ask(HttpMessages.page("t" + i)).status());
             }
-            nextToSend.set(longestIdle);
+            nextToSend.set(idle);
             // The deadline of this request has passed when it arrives, so that the proxy responds and evicts a
             // connection in the same iteration of the event loop.
             assertEquals(
                     503, proxy.ask(HttpMessages.page("/api/p", "late", "1m")).status());
-            assertEquals(200, HttpMessages.read(longestIdle.getInputStream()).status());
+            assertEquals(200, HttpMessages.read(idle.getInputStream()).status());
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/downstream/ClientTimeoutTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ClientTimeoutTest.java
@@ -31,7 +31,10 @@
             Socket partialBody = proxy.connect();
             ProxyFixture.write(partialBody, HttpMessages.order("b", "4000m").replace("\r\nab", "\r\na"));
             Socket partialSecondRequest = proxy.connect();
-            assertEquals(200, ProxyFixture.ask(partialSecondRequest, HttpMessages.page("c")).status());
+            assertEquals(
+                    200,
+                    ProxyFixture.ask(partialSecondRequest, HttpMessages.page("c"))
+                            .status());
             ProxyFixture.write(partialSecondRequest, "GET /api");
             Socket idle = proxy.connect();
             assertEquals(200, ProxyFixture.ask(idle, HttpMessages.page("d")).status());
--- a/src/test/java/loadbalancer/proxy/downstream/ConnectionEvictionTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ConnectionEvictionTest.java
@@ -45,12 +45,16 @@
             // Exceeds the limit on idle connections with far fewer connections than the descriptors allow.
             for (int i = 0; i < proxy.sockets / 6; i++) {
                 assertEquals(
-                        200, ProxyFixture.ask(activeClient, HttpMessages.page("u" + i)).status());
+                        200,
+                        ProxyFixture.ask(activeClient, HttpMessages.page("u" + i))
+                                .status());
                 assertEquals(200, proxy.ask(HttpMessages.page("t" + i)).status());
             }
             first.setSoTimeout(2_000);
             assertEquals(-1, first.getInputStream().read(), "evicted long before the keep-alive timeout");
-            assertEquals(200, ProxyFixture.ask(activeClient, HttpMessages.page("last")).status());
+            assertEquals(
+                    200,
+                    ProxyFixture.ask(activeClient, HttpMessages.page("last")).status());
         }
     }
 
@@ -100,13 +104,15 @@
             proxy.sockets = 64;
             proxy.start(upstream);
             Socket activeClient = proxy.connect();
-            assertEquals(200, ProxyFixture.ask(activeClient, HttpMessages.page("a")).status());
+            assertEquals(
+                    200, ProxyFixture.ask(activeClient, HttpMessages.page("a")).status());
             Socket unused = proxy.connect();
             for (int i = 0; i < 100; i++) {
                 proxy.connect();
             }
             assertEquals(-1, unused.getInputStream().read());
-            assertEquals(200, ProxyFixture.ask(activeClient, HttpMessages.page("b")).status());
+            assertEquals(
+                    200, ProxyFixture.ask(activeClient, HttpMessages.page("b")).status());
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/downstream/DownstreamServerTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/DownstreamServerTest.java
@@ -30,7 +30,8 @@
             assertEquals("9b1f", sent.headers().get("x-txn"));
             assertEquals("5c0f", sent.headers().get("idempotency-key"));
             assertEquals("body", sent.body());
-            long remainingUs = ClientRequestParser.parseRemainingUs(sent.headers().get("x-remaining"));
+            long remainingUs =
+                    ClientRequestParser.parseRemainingUs(sent.headers().get("x-remaining"));
             assertTrue(remainingUs > 0 && remainingUs < 480_000, "remaining " + remainingUs);
         }
     }
--- a/src/test/java/loadbalancer/proxy/downstream/RequestPipeliningTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/RequestPipeliningTest.java
@@ -24,7 +24,9 @@
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.page("a") + HttpMessages.page("b") + HttpMessages.page("c"));
             for (String transactionId : new String[] {"a", "b", "c"}) {
-                assertEquals(transactionId, HttpMessages.read(client.getInputStream()).body());
+                assertEquals(
+                        transactionId,
+                        HttpMessages.read(client.getInputStream()).body());
             }
         }
     }
