--- a/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientConnection.java
@@ -139,7 +139,7 @@
             // An unexpected exception must not leave the client without a response.
             EventLog.error("failed to serve request " + next.head().uri(), e);
             if (openRequest == null) {
-                answer(HttpResponseStatus.INTERNAL_SERVER_ERROR, EMPTY_BODY, 0);
+                respond(HttpResponseStatus.INTERNAL_SERVER_ERROR, EMPTY_BODY, 0);
             }
         }
     }
@@ -150,7 +150,7 @@
             phase = phase.withoutFurtherRequests();
         }
         boolean isReady = handler.isReady() && !server.isDraining();
-        answer(isReady ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, EMPTY_BODY, 0);
+        respond(isReady ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, EMPTY_BODY, 0);
     }
 
     /** Responds to an invalid request and closes the connection, because the client is likely to repeat the error. */
@@ -158,7 +158,7 @@
         phase = phase.withoutFurtherRequests();
         pipeline.clear();
         reader.close();
-        answer(error, reason, 0);
+        respond(error, reason, 0);
     }
 
     /**
@@ -167,7 +167,7 @@
      * @param content the body, which may be empty
      * @param retryAfterUs the time for the Retry-After header in microseconds, or 0 to omit the header
      */
-    public void answer(HttpResponseStatus status, byte[] content, long retryAfterUs) {
+    public void respond(HttpResponseStatus status, byte[] content, long retryAfterUs) {
         openRequest = null;
         waitingForClientSinceUs = clock.nowUs();
         FullHttpResponse response = ClientResponses.finalResponse(status, content, retryAfterUs);
@@ -237,7 +237,7 @@
     }
 
     /** Returns whether the client is still connected, after reading received bytes to detect a disconnect. */
-    public boolean isPresent() {
+    public boolean isConnected() {
         channel.readNow();
         return channel.isActive();
     }
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
@@ -428,7 +428,7 @@
                 .with("left_us", request.deadlineUs - clock.nowUs())
                 .with("retry_after_us", retryAfterUs));
         end(request);
-        request.client.answer(status, body, retryAfterUs);
+        request.client.respond(status, body, retryAfterUs);
         forgetIfOver(request);
     }
 
--- a/src/main/java/loadbalancer/proxy/routing/Attempt.java
+++ b/src/main/java/loadbalancer/proxy/routing/Attempt.java
@@ -100,7 +100,7 @@
     /** Not if it is answered or its client has left, whether the module has been notified of that or not. */
     @Override
     public boolean isActive() {
-        return !request.ended && clock.nowUs() < untilUs && request.client.isPresent();
+        return !request.ended && clock.nowUs() < untilUs && request.client.isConnected();
     }
 
     /** Sends it, unless it may not be sent at all. */
