--- a/src/main/java/loadbalancer/proxy/downstream/ClientRequest.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientRequest.java
@@ -25,8 +25,8 @@
         String idempotencyKey,
         byte[] body,
         int classIndex,
-        int tenant,
+        int tenantIndex,
         long remainingUs,
-        long workUs,
-        boolean retry,
-        String key) {}
+        long estimatedWorkUs,
+        boolean isRetry,
+        String affinityKey) {}
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
@@ -369,11 +369,11 @@
                         new Request(
                                 taken.id,
                                 request.classIndex(),
-                                request.tenant(),
+                                request.tenantIndex(),
                                 Math.max(0, taken.deadlineUs - clock.nowUs()),
-                                request.workUs(),
-                                request.retry(),
-                                request.key())));
+                                request.estimatedWorkUs(),
+                                request.isRetry(),
+                                request.affinityKey())));
     }
 
     // ---------------------------------------------------------------- attempts
