--- a/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
@@ -90,8 +90,8 @@
     }
 
     private void onAccepted(ClientChannel channel) {
-        descriptors.clientOpened();
-        channel.closeFuture().addListener(done -> descriptors.clientClosed());
+        descriptors.onClientOpened();
+        channel.closeFuture().addListener(done -> descriptors.onClientClosed());
         if (!descriptors.hasCapacityForClient() && !connections.evictOne()) {
             // No connection can be evicted, and the remaining descriptors are reserved for upstream connections.
             channel.close();
--- a/src/main/java/loadbalancer/proxy/resources/DescriptorBudget.java
+++ b/src/main/java/loadbalancer/proxy/resources/DescriptorBudget.java
@@ -38,29 +38,29 @@
     }
 
     /** Counts an upstream connection that is being opened. */
-    public void upstreamOpened() {
+    public void onUpstreamOpened() {
         openSockets++;
     }
 
     /** Releases the descriptor of an upstream connection that has closed or could not be opened. */
-    public void upstreamClosed() {
+    public void onUpstreamClosed() {
         openSockets--;
     }
 
     /** Counts a client connection that has been accepted. */
-    public void clientOpened() {
+    public void onClientOpened() {
         openSockets++;
         openClients++;
     }
 
     /** Releases the descriptor of a client connection that has closed. */
-    public void clientClosed() {
+    public void onClientClosed() {
         openSockets--;
         openClients--;
     }
 
     /** Returns the number of counted connections to clients and endpoints. */
-    public int open() {
+    public int openSockets() {
         return openSockets;
     }
 
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -192,7 +192,7 @@
 
     private void dial(UpstreamEndpoint upstream) {
         upstream.dialing++;
-        sockets.upstreamOpened();
+        sockets.onUpstreamOpened();
         int generation = upstream.generation();
         ChannelFuture opening = dialer.connect(upstream.endpoint());
         // Also a dial that fails on the spot is heard of from the loop, never from inside this call.
@@ -202,7 +202,7 @@
     private void dialed(UpstreamEndpoint upstream, int generation, ChannelFuture opening) {
         upstream.dialing--;
         if (opening.isSuccess()) {
-            opening.channel().closeFuture().addListener(closed -> sockets.upstreamClosed());
+            opening.channel().closeFuture().addListener(closed -> sockets.onUpstreamClosed());
             UpstreamConnection connection =
                     new UpstreamConnection(this, upstream, generation, (UpstreamChannel) opening.channel());
             opening.channel().pipeline().addLast(connection);
@@ -210,7 +210,7 @@
             return;
         }
         // Not by the end of its channel: where no descriptor could be had there is none that could end.
-        sockets.upstreamClosed();
+        sockets.onUpstreamClosed();
         // One dial was made for each that waits; some may have found a connection that came free.
         upstream.failOneWithoutDial();
     }
@@ -227,7 +227,7 @@
 
     /** How many descriptors clients and servers hold. */
     public int descriptors() {
-        return sockets.open();
+        return sockets.openSockets();
     }
 
     /** False if responses under way would take more memory than they may together. */
