--- a/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
+++ b/src/main/java/loadbalancer/proxy/downstream/DownstreamServer.java
@@ -119,7 +119,7 @@
     }
 
     /** Returns the number of open connections. */
-    public int connections() {
+    public int connectionCount() {
         return connections.size();
     }
 
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
@@ -311,7 +311,7 @@
 
     /** To be called on the event loop. */
     ProxyNodeCounts counts() {
-        return new ProxyNodeCounts(inFlight.size(), pool.exchanges(), clients.connections(), pool.descriptors());
+        return new ProxyNodeCounts(inFlight.size(), pool.exchanges(), clients.connectionCount(), pool.descriptors());
     }
 
     /** Lets go of all sockets and timers at once. */
