--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
@@ -164,7 +164,7 @@
             System.exit(2);
             return;
         }
-        EventLog.redirectNettyWarnings();
+        EventLog.redirectNettyLog();
         logStart(config);
         EventLoop loop = newLoop();
         ProxyNode node = new ProxyNode(config, loop);
--- a/src/main/java/loadbalancer/proxy/logging/EventLog.java
+++ b/src/main/java/loadbalancer/proxy/logging/EventLog.java
@@ -83,7 +83,7 @@
      * Writes Netty's log records to this log. The JDK's default log handler opens files when it first formats a time.
      * If no file descriptor is left, this fails and stops the event loop.
      */
-    public static void redirectNettyWarnings() {
+    public static void redirectNettyLog() {
         NETTY_LOGGER.setUseParentHandlers(false);
         NETTY_LOGGER.addHandler(new NettyLogHandler());
     }
