--- a/src/test/java/loadbalancer/proxy/downstream/BacklogTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/BacklogTest.java
@@ -42,7 +42,7 @@
      * Blocks the event loop until the returned latch is released, or for 20 seconds at most. Returns once the loop is
      * blocked.
      */
-    public static CountDownLatch holdUp(EventLoop loop) throws InterruptedException {
+    public static CountDownLatch blockEventLoop(EventLoop loop) throws InterruptedException {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         loop.execute(() -> {
@@ -97,7 +97,7 @@
                     200,
                     ProxyFixture.ask(leaving, HttpMessages.page("before"))
                             .status());
-            CountDownLatch release = holdUp(proxy.loop);
+            CountDownLatch release = blockEventLoop(proxy.loop);
             ProxyFixture.write(leaving, HttpMessages.page("left"));
             leaving.close();
             Socket shortLived = proxy.connect();
@@ -147,7 +147,7 @@
             assertEquals(
                     200, HttpMessages.read(active.getInputStream()).status());
             upstream.requests.clear();
-            CountDownLatch release = holdUp(proxy.loop);
+            CountDownLatch release = blockEventLoop(proxy.loop);
             ProxyFixture.write(active, HttpMessages.page("stays"));
             ProxyFixture.write(leaving, HttpMessages.page("left"));
             nextToDisconnect.set(leaving);
@@ -176,7 +176,7 @@
             Socket leaving = proxy.connect();
             ProxyFixture.write(leaving, HttpMessages.page("/api/p", "left", "60000m"));
             proxy.awaitRead();
-            CountDownLatch release = holdUp(proxy.loop);
+            CountDownLatch release = blockEventLoop(proxy.loop);
             // The response is sent first, so that the proxy reads it before it detects the disconnect.
             ScriptedHttpServer.next(upstream.peers).write(HttpMessages.ok("x"));
             leaving.close();
@@ -204,7 +204,7 @@
             Socket active = proxy.connect();
             ProxyFixture.write(active, HttpMessages.order("stays", "60000m"));
             proxy.awaitRead();
-            hanging.makeRoom();
+            hanging.freeBacklog();
             Set<String> forwardedIds = new HashSet<>();
             while (!forwardedIds.contains("stays")) {
                 Socket accepted = hanging.accept();
@@ -228,7 +228,7 @@
             Socket idle = proxy.connect();
             proxy.node.beginGracefulShutdown(new ShutdownSchedule(600_000, 20_000_000), () -> {});
             assertEquals(-1, idle.getInputStream().read(), "idle connections are closed");
-            CountDownLatch release = holdUp(proxy.loop);
+            CountDownLatch release = blockEventLoop(proxy.loop);
             // The response is sent first, so that the proxy forwards it before it reads the second request.
             ScriptedHttpServer.next(upstream.peers).write(HttpMessages.ok("x"));
             ProxyFixture.write(client, HttpMessages.page("second"));
@@ -261,7 +261,7 @@
                         return null;
                     });
             proxy.start(upstream);
-            CountDownLatch release = holdUp(proxy.loop);
+            CountDownLatch release = blockEventLoop(proxy.loop);
             List<Socket> clients = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 Socket client = proxy.connect();
--- a/src/test/java/loadbalancer/proxy/downstream/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ConnectionCloseTest.java
@@ -104,7 +104,7 @@
                 ProxyFixture proxy = ProxyFixture.quiet()) {
             proxy.sockets = 1_024;
             proxy.start(upstream);
-            CountDownLatch release = BacklogTest.holdUp(proxy.loop);
+            CountDownLatch release = BacklogTest.blockEventLoop(proxy.loop);
             List<Socket> clients = new ArrayList<>();
             for (int i = 0; i < backlog; i++) {
                 Socket client = proxy.connect();
--- a/src/test/java/loadbalancer/proxy/downstream/HangingListener.java
+++ b/src/test/java/loadbalancer/proxy/downstream/HangingListener.java
@@ -25,7 +25,7 @@
     }
 
     /** Accepts the two connections that fill the backlog, so that pending connects complete. */
-    public void makeRoom() throws IOException {
+    public void freeBacklog() throws IOException {
         listener.accept();
         listener.accept();
     }
--- a/src/test/java/loadbalancer/proxy/lifecycle/FaultMatrixTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/FaultMatrixTest.java
@@ -239,7 +239,7 @@
         }
 
         private void goToThePoint() throws Exception {
-            CountDownLatch heldUp = point == Point.BEFORE_ACCEPT ? BacklogTest.holdUp(site.loop) : null;
+            CountDownLatch heldUp = point == Point.BEFORE_ACCEPT ? BacklogTest.blockEventLoop(site.loop) : null;
             client = site.connect();
             switch (point) {
                 case BEFORE_ACCEPT -> {
--- a/src/test/java/loadbalancer/proxy/lifecycle/LeaseEnforcementTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/LeaseEnforcementTest.java
@@ -111,7 +111,7 @@
             ProxyFixture.write(client, HttpMessages.order("t", "50000m"));
             site.awaitCounts(counts -> counts.exchanges() == 1);
             clock.advance(PAST_LEASE_US);
-            hanging.makeRoom();
+            hanging.freeBacklog();
             try (Socket dialed = hanging.accept()) {
                 assertEquals(503, HttpMessages.read(client.getInputStream()).status());
                 site.closeClients();
