--- a/src/main/java/loadbalancer/proxy/downstream/ClientRequest.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientRequest.java
@@ -12,11 +12,11 @@
  * @param idempotencyKey the idempotency key, or null if the request has none
  * @param body the body, which may be empty
  * @param classIndex the index of the request class in the settings
- * @param tenant the index of the tenant in the settings, or -1 if the tenant is missing or unknown
+ * @param tenantIndex the index of the tenant in the settings, or -1 if the tenant is missing or unknown
  * @param remainingUs the time from the arrival of the request until its response must be ready, in microseconds
- * @param workUs the client's estimate of the work in microseconds, or 0 if the client gave none
- * @param retry whether the client has marked the request as a retry
- * @param key the key for key affinity: the last segment of the path, or null if that is empty
+ * @param estimatedWorkUs the client's estimate of the work in microseconds, or 0 if the client gave none
+ * @param isRetry whether the client has marked the request as a retry
+ * @param affinityKey the key for key affinity: the last segment of the path, or null if that is empty
  */
 public record ClientRequest(
         HttpMethod method,
--- a/src/test/java/loadbalancer/proxy/downstream/BacklogTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/BacklogTest.java
@@ -94,9 +94,7 @@
                 ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
             Socket leaving = proxy.connect();
             assertEquals(
-                    200,
-                    ProxyFixture.ask(leaving, HttpMessages.page("before"))
-                            .status());
+                    200, ProxyFixture.ask(leaving, HttpMessages.page("before")).status());
             CountDownLatch release = blockEventLoop(proxy.loop);
             ProxyFixture.write(leaving, HttpMessages.page("left"));
             leaving.close();
@@ -106,8 +104,7 @@
             Socket active = proxy.connect();
             ProxyFixture.write(active, HttpMessages.page("stays"));
             release.countDown();
-            assertEquals(
-                    200, HttpMessages.read(active.getInputStream()).status());
+            assertEquals(200, HttpMessages.read(active.getInputStream()).status());
             assertEquals(
                     "before",
                     ScriptedHttpServer.next(upstream.requests).headers().get("x-txn"));
@@ -142,18 +139,15 @@
             Socket leaving = proxy.connect();
             assertEquals(
                     200,
-                    ProxyFixture.ask(leaving, HttpMessages.page("before too"))
-                            .status());
-            assertEquals(
-                    200, HttpMessages.read(active.getInputStream()).status());
+                    ProxyFixture.ask(leaving, HttpMessages.page("before too")).status());
+            assertEquals(200, HttpMessages.read(active.getInputStream()).status());
             upstream.requests.clear();
             CountDownLatch release = blockEventLoop(proxy.loop);
             ProxyFixture.write(active, HttpMessages.page("stays"));
             ProxyFixture.write(leaving, HttpMessages.page("left"));
             nextToDisconnect.set(leaving);
             release.countDown();
-            assertEquals(
-                    200, HttpMessages.read(active.getInputStream()).status());
+            assertEquals(200, HttpMessages.read(active.getInputStream()).status());
             assertEquals(200, proxy.ask(HttpMessages.page("after")).status());
             assertEquals(
                     "stays",
@@ -213,8 +207,7 @@
                 accepted.getOutputStream().write(HttpMessages.ok("x").getBytes(StandardCharsets.US_ASCII));
             }
             assertEquals(Set.of("stays"), forwardedIds);
-            assertEquals(
-                    200, HttpMessages.read(active.getInputStream()).status());
+            assertEquals(200, HttpMessages.read(active.getInputStream()).status());
         }
     }
 
@@ -286,9 +279,7 @@
                     oneTimeAction(nextToSend, client -> ProxyFixture.write(client, HttpMessages.page("unread"))));
             proxy.start(upstream);
             Socket idle = proxy.connect();
-            assertEquals(
-                    200,
-                    ProxyFixture.ask(idle, HttpMessages.page("first")).status());
+            assertEquals(200, ProxyFixture.ask(idle, HttpMessages.page("first")).status());
             // Reaches the limit on idle connections: one more evicts the longest idle connection.
             for (int i = 1; i < proxy.sockets / 6; i++) {
                 assertEquals(200, proxy.ask(HttpMessages.page("t" + i)).status());
