--- a/src/main/java/loadbalancer/policy/admission/ConcurrencyLimiter.java
+++ b/src/main/java/loadbalancer/policy/admission/ConcurrencyLimiter.java
@@ -220,11 +220,11 @@
 
     private void adaptLimit(
             PendingRequest request, Attempt attempt, ObservedOutcome outcome, double slowAboveUs, long nowUs) {
-        if (outcome.result() == AttemptResult.OK || outcome.abandonedAsSlow()) {
+        if (outcome.result() == AttemptResult.OK || outcome.isAbandonedAsSlow()) {
             double priority = sharing.isSparse() ? priorities.relativePriority(request) : 1;
             if (outcome.latencyUs() > slowAboveUs) {
                 cutLimit(attempt, slowCut * priority, nowUs);
-            } else if (!outcome.abandonedAsSlow()) {
+            } else if (!outcome.isAbandonedAsSlow()) {
                 growLimit(attempt, priority, nowUs);
             }
         } else if (outcome.result() == AttemptResult.REJECTED) {
--- a/src/main/java/loadbalancer/policy/admission/ObservedOutcome.java
+++ b/src/main/java/loadbalancer/policy/admission/ObservedOutcome.java
@@ -7,7 +7,7 @@
  *
  * @param result the result of the attempt
  * @param latencyUs the duration of the attempt
- * @param abandonedAsSlow whether the client disconnected after the attempt had taken longer than most of its class. The
- *     duration is then treated like the latency of a response: otherwise only the quick responses would be observed
+ * @param isAbandonedAsSlow whether the client disconnected after the attempt had taken longer than most of its class.
+ *     The duration is then treated like the latency of a response: otherwise only the quick responses would be observed
  */
-public record ObservedOutcome(AttemptResult result, long latencyUs, boolean abandonedAsSlow) {}
+public record ObservedOutcome(AttemptResult result, long latencyUs, boolean isAbandonedAsSlow) {}
