--- a/src/main/java/loadbalancer/policy/ActiveEndpoints.java
+++ b/src/main/java/loadbalancer/policy/ActiveEndpoints.java
@@ -9,7 +9,7 @@
 import loadbalancer.policy.selection.EndpointPicker;
 import loadbalancer.policy.selection.EndpointSubset;
 
-/** The endpoints that this instance uses: all that are ready, or its subset of them in a large fleet. */
+/** The endpoints that this instance uses: all ready endpoints or, in a large fleet, this instance's subset of them. */
 final class ActiveEndpoints implements OutlierDetector.Listener {
     private final EndpointSubset subset;
     private final ConcurrencyLimiter limiter;
@@ -32,15 +32,19 @@
         this.actions = actions;
     }
 
-    /** Sets the detector that reports here; to be called once, before the first list. */
+    /** Sets the detector that reports to this listener. Must be called once, before the first {@link #update}. */
     void setOutlierDetector(OutlierDetector detector) {
         outlierDetector = detector;
     }
 
-    /** Follows a change of the endpoint list. */
+    /**
+     * Determines the active endpoints anew after a change of the endpoint list.
+     *
+     * @param listed all endpoints of the list, in list order
+     */
     void update(List<Endpoint> listed, long nowUs) {
         Endpoint[] previous = active;
-        active = subset.selectFrom(ready(listed));
+        active = subset.selectFrom(readyEndpoints(listed));
         limiter.onSharingChanged();
         slowStart.setActiveEndpointCount(active.length);
         for (Endpoint endpoint : previous) {
@@ -58,13 +62,16 @@
         onEjectionsChanged();
     }
 
-    private static Endpoint[] ready(List<Endpoint> listed) {
+    private static Endpoint[] readyEndpoints(List<Endpoint> listed) {
         return listed.stream()
                 .filter(endpoint -> endpoint.state() == EndpointState.READY)
                 .toArray(Endpoint[]::new);
     }
 
-    /** Closes connections to an endpoint no longer used: they would take connections from instances that use it. */
+    /**
+     * Closes this instance's idle connections to an endpoint that is not active and has no attempt in flight. Such
+     * connections would take up room that the instances using the endpoint need for theirs.
+     */
     void closeIfUnused(Endpoint endpoint) {
         if (!endpoint.isActive() && endpoint.concurrency().inFlight() == 0) {
             actions.closeIdleConnections(endpoint.id());
--- a/src/main/java/loadbalancer/policy/AttemptDispatcher.java
+++ b/src/main/java/loadbalancer/policy/AttemptDispatcher.java
@@ -14,7 +14,7 @@
 import loadbalancer.policy.retry.RetryRules;
 import loadbalancer.policy.statistics.ServiceRate;
 
-/** The table of pending requests: starts their attempts, retries and hedged requests, and gives their final response. */
+/** Keeps the pending requests: starts their attempts, retries and hedged requests, and gives their final responses. */
 final class AttemptDispatcher implements RequestQueue.Dispatcher {
     private final LoadBalancerSettings settings;
     private final LoadBalancerActions actions;
@@ -25,7 +25,7 @@
     private final ServiceRate serviceRate;
     private final UnresponsiveAttemptDetector unresponsiveAttempts;
     private final RetryBudget hedgingBudget = new RetryBudget();
-    private final Map<Long, PendingRequest> requests = new HashMap<>();
+    private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
 
     AttemptDispatcher(
             LoadBalancerSettings settings,
@@ -46,14 +46,14 @@
         this.unresponsiveAttempts = unresponsiveAttempts;
     }
 
-    /** The pending request of an id, or null. */
+    /** Returns the pending request with this id, or null if there is none. */
     PendingRequest find(long id) {
-        return requests.get(id);
+        return pendingRequests.get(id);
     }
 
     /** Adds a request that has just arrived. */
     void add(PendingRequest request) {
-        requests.put(request.id(), request);
+        pendingRequests.put(request.id(), request);
     }
 
     @Override
@@ -79,7 +79,12 @@
         actions.startAttempt(request.id(), endpoint.id(), request.deadlineAtUs());
     }
 
-    /** Retries a request whose attempts have all ended, has it wait for an endpoint, or gives its final response. */
+    /**
+     * Handles a request whose attempts have all ended without a success: retries it, queues it if no endpoint may take
+     * the retry now, or gives its final response if no retry is permitted.
+     *
+     * @param failed the endpoint of the attempt that ended last
+     */
     void retryOrFinish(PendingRequest request, Endpoint failed, RequestQueue queue, long nowUs) {
         if (!mayRetry(request, nowUs)) {
             rejectOrFail(request);
@@ -93,7 +98,12 @@
         }
     }
 
-    /** Sends a hedged request beside an unresponsive attempt, if settings and budget allow one. */
+    /**
+     * Starts a hedged request beside an unresponsive attempt if the settings, the hedging budget and the retry rules
+     * allow one and an endpoint may take it.
+     *
+     * @param unresponsive the endpoint of the unresponsive attempt
+     */
     void hedge(PendingRequest request, Endpoint unresponsive, long nowUs) {
         boolean mayHedge = settings.hedgingEnabled
                 && !request.isQueued()
@@ -107,7 +117,7 @@
         }
     }
 
-    /** Gives the final response without a success: a rejection wherever that is known to be safe. */
+    /** Gives an unsuccessful request its final response: rejects it if the client may safely retry, else fails it. */
     @Override
     public void rejectOrFail(PendingRequest request) {
         if (retryRules.mayReject(request)) {
@@ -118,7 +128,7 @@
         finish(request);
     }
 
-    /** Nothing more is to be done for a request: cancels its attempts in flight. */
+    /** Marks a request as finished and, if the settings allow cancellation, cancels its attempts in flight. */
     void finish(PendingRequest request) {
         request.finish();
         if (settings.cancellationEnabled) {
@@ -128,13 +138,13 @@
                 }
             }
         }
-        forgetIfDone(request);
+        removeIfDone(request);
     }
 
-    /** Forgets a request that is finished and has no attempt in flight. */
-    void forgetIfDone(PendingRequest request) {
+    /** Removes a request that is finished and has no attempt in flight. */
+    void removeIfDone(PendingRequest request) {
         if (request.isDone()) {
-            requests.remove(request.id());
+            pendingRequests.remove(request.id());
         }
     }
 }
--- a/src/main/java/loadbalancer/policy/AttemptOutcome.java
+++ b/src/main/java/loadbalancer/policy/AttemptOutcome.java
@@ -1,14 +1,15 @@
 package loadbalancer.policy;
 
 /**
- * The end of one attempt.
+ * How one attempt ended.
  *
- * @param requestId the request
- * @param attempt its number, from 0
- * @param result how it ended
- * @param latencyUs time since it began
- * @param requestEnded whether the request has its final response, by this outcome or before
- * @param loadReport the endpoint's load report in the order of {@link LoadBalancerSettings#loadReportFields}, or null
+ * @param requestId the id of the request
+ * @param attempt the number of the attempt among those of its request, from 0
+ * @param result the result of the attempt
+ * @param latencyUs time from the start of the attempt to its end
+ * @param requestEnded whether the request has its final response, through this attempt or through an earlier event
+ * @param loadReport the endpoint's load report, its values in the order of
+ *     {@link LoadBalancerSettings#loadReportFields}, or null if there is none
  */
 public record AttemptOutcome(
         long requestId, int attempt, AttemptResult result, long latencyUs, boolean requestEnded, double[] loadReport) {}
--- a/src/main/java/loadbalancer/policy/AttemptResult.java
+++ b/src/main/java/loadbalancer/policy/AttemptResult.java
@@ -2,24 +2,24 @@
 
 /** How an attempt ended. */
 public enum AttemptResult {
-    /** A successful response. */
+    /** The endpoint responded with a success. */
     OK(false),
-    /** The endpoint responded with an error; the request may have been executed. */
+    /** The endpoint responded with an error; it may have executed the request. */
     ERROR(false),
-    /** Rejected by the endpoint before it was executed. */
+    /** The endpoint rejected the request without executing it. */
     REJECTED(true),
-    /** No response in time; it may have been executed or still be running. */
+    /** No response arrived in time; the endpoint may have executed the request or may still be executing it. */
     TIMEOUT(false),
-    /** No connection in time. */
+    /** No connection to the endpoint was available in time, so the request was not sent. */
     CONNECT_FAILED(true),
-    /** The connection broke; it may have been executed. */
+    /** The connection broke; the endpoint may have executed the request. */
     RESET(false),
-    /** Cancelled; it may have been executed. */
+    /** The attempt was cancelled; the endpoint may have executed the request. */
     CANCELLED(false),
-    /** Never sent. */
+    /** The request was never sent to the endpoint. */
     NOT_SENT(true);
 
-    /** Whether the request is known not to have been executed. */
+    /** Whether the endpoint is known not to have executed the request. */
     public final boolean knownNotExecuted;
 
     AttemptResult(boolean knownNotExecuted) {
--- a/src/main/java/loadbalancer/policy/DeduplicationScope.java
+++ b/src/main/java/loadbalancer/policy/DeduplicationScope.java
@@ -1,11 +1,11 @@
 package loadbalancer.policy;
 
-/** The endpoints among which repetitions of a request with an idempotency key are dropped. */
+/** The endpoints that together drop repetitions of a request with an idempotency key. */
 public enum DeduplicationScope {
     /** All endpoints. */
     ALL,
-    /** Those of the same zone. */
+    /** All endpoints of one zone. */
     ZONE,
-    /** Those of the same cell. */
+    /** All endpoints of one cell. */
     CELL
 }
--- a/src/main/java/loadbalancer/policy/EndpointListKind.java
+++ b/src/main/java/loadbalancer/policy/EndpointListKind.java
@@ -1,11 +1,11 @@
 package loadbalancer.policy;
 
-/** What an endpoint list event contains. */
+/** Which entries an endpoint list event contains. */
 public enum EndpointListKind {
-    /** Only the entries that changed. */
+    /** Only the entries that have changed. */
     CHANGES,
     /** All entries. */
     FULL,
-    /** All entries as the instance last had them, possibly out of date; given once, at the start. */
+    /** All entries as this instance last knew them, possibly out of date; reported once, when the instance starts. */
     CACHED
 }
--- a/src/main/java/loadbalancer/policy/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/policy/EndpointRegistry.java
@@ -8,26 +8,26 @@
 import loadbalancer.policy.health.OutlierDetector;
 import loadbalancer.policy.model.Endpoint;
 
-/** The endpoints of the list, their incarnations and states, and removed ones that still have attempts in flight. */
+/** The endpoints of the list with their states and incarnations, and removed ones with attempts in flight. */
 final class EndpointRegistry {
-    private final int classes;
+    private final int classCount;
     private final OutlierDetector outlierDetector;
     private final Map<String, Endpoint> byId = new HashMap<>();
     private final List<Endpoint> listed = new ArrayList<>();
-    /** Whether discovery has given a list since this instance started. */
+    /** Whether discovery has published a list or changes since this instance started; a cached list does not count. */
     private boolean listReceived;
 
     EndpointRegistry(LoadBalancerSettings settings, OutlierDetector outlierDetector) {
-        classes = settings.classes.size();
+        classCount = settings.classes.size();
         this.outlierDetector = outlierDetector;
     }
 
-    /** The endpoints of the list in its order, be they ready or draining. */
+    /** Returns the ready and the draining endpoints, in list order. */
     List<Endpoint> listed() {
         return listed;
     }
 
-    /** Takes over an endpoint list or the changes of one. */
+    /** Applies a complete endpoint list or changes of the list. */
     void update(EndpointListKind kind, List<EndpointListEntry> entries, long nowUs) {
         if (kind != EndpointListKind.CHANGES) {
             listed.forEach(Endpoint::remove);
@@ -40,14 +40,14 @@
     }
 
     private void update(EndpointListEntry entry, long nowUs) {
-        Endpoint endpoint = byId.computeIfAbsent(entry.id(), id -> new Endpoint(id, classes));
+        Endpoint endpoint = byId.computeIfAbsent(entry.id(), id -> new Endpoint(id, classCount));
         if (entry.state() == EndpointState.REMOVED) {
             listed.remove(endpoint);
         } else if (endpoint.state() == EndpointState.REMOVED) {
             listed.add(endpoint);
         }
         if (entry.startedAtUs() != 0 && entry.startedAtUs() != endpoint.incarnationStartedAtUs()) {
-            // What was learned of an earlier incarnation says nothing of this one.
+            // The history and the limit of an earlier incarnation do not apply to the new one.
             outlierDetector.resetHistory(endpoint);
             endpoint.concurrency().resetLimit();
             endpoint.startIncarnation(entry.startedAtUs(), warmingUpSinceUs(entry, nowUs));
@@ -56,22 +56,26 @@
     }
 
     /**
-     * A start that is learned while this instance runs counts from then on: wall clocks may be stepped, so that the time
-     * in the list may be off by any amount. The first lists report starts before this instance's own, for which that
-     * time is all there is; it cannot lie in the future.
+     * Returns the time from which a new incarnation counts as warming up. If a list after the first one from discovery
+     * reports the incarnation, that is the current time: wall clocks may be stepped, so the start time in the list may
+     * be wrong by any amount. The cached list and the first list report incarnations that started before this instance,
+     * for which only the start time in the list is known. A start time in the future is replaced by the current time.
      */
     private long warmingUpSinceUs(EndpointListEntry entry, long nowUs) {
         return listReceived ? nowUs : Math.min(nowUs, entry.startedAtUs());
     }
 
-    /** Forgets removed endpoints without attempts in flight: endpoints come and go as long as an instance runs. */
+    /**
+     * Drops removed endpoints that have no attempts in flight. Discovery adds and removes endpoints for as long as this
+     * instance runs, so that keeping all of them would let memory grow without limit.
+     */
     void forgetRemoved() {
         byId.values()
                 .removeIf(endpoint -> endpoint.state() == EndpointState.REMOVED
                         && endpoint.concurrency().inFlight() == 0);
     }
 
-    /** How many endpoints are known, removed ones included. */
+    /** Returns the number of known endpoints, including removed ones that still have attempts in flight. */
     int size() {
         return byId.size();
     }
--- a/src/main/java/loadbalancer/policy/EndpointSelector.java
+++ b/src/main/java/loadbalancer/policy/EndpointSelector.java
@@ -9,7 +9,7 @@
 import loadbalancer.policy.selection.EndpointFilter;
 import loadbalancer.policy.selection.EndpointPicker;
 
-/** Selects the endpoint of each attempt: an ejected one that is due for probation, or a pick by weight. */
+/** Selects the endpoint of each attempt: an ejected endpoint that is due for probation, or else a pick by weight. */
 final class EndpointSelector {
     private final OutlierDetector outlierDetector;
     private final EndpointPicker picker;
@@ -21,7 +21,7 @@
         this.filter = filter;
     }
 
-    /** What an endpoint's state, health, limit and slow start allow, and the idempotency of a request. */
+    /** Checks an endpoint's state, ejection, concurrency limits and slow start, and the idempotency of the request. */
     static final class Filter implements EndpointFilter {
         private final ConcurrencyLimiter limiter;
         private final SlowStart slowStart;
@@ -40,7 +40,7 @@
                     && isPermitted(request, endpoint, nowUs);
         }
 
-        /** The same without the limits and the health of the endpoint. */
+        /** Returns whether an attempt may be made apart from ejection and concurrency limits, as for probation. */
         boolean isPermitted(PendingRequest request, Endpoint endpoint, long nowUs) {
             return endpoint.state() == EndpointState.READY
                     && slowStart.allows(endpoint, nowUs)
@@ -48,7 +48,7 @@
         }
     }
 
-    /** An endpoint for a request without attempts in flight, or null. */
+    /** Returns an endpoint for a request without attempts in flight, or null if none may take it. */
     Endpoint selectFirstEndpoint(PendingRequest request, long nowUs) {
         if (outlierDetector.hasEjectedEndpoints()) {
             Endpoint probation = outlierDetector.findProbationEndpoint(
@@ -60,8 +60,12 @@
         return picker.pick(request, nowUs);
     }
 
-    /** An endpoint for a retry or a hedged request beside one that has failed or is unresponsive, or null. */
-    Endpoint selectRetryEndpoint(PendingRequest request, Endpoint failed, long nowUs) {
-        return picker.pickForRetry(request, failed, nowUs);
+    /**
+     * Returns an endpoint for a retry or a hedged request, or null if none may take it.
+     *
+     * @param previous the endpoint whose attempt has failed or is unresponsive
+     */
+    Endpoint selectRetryEndpoint(PendingRequest request, Endpoint previous, long nowUs) {
+        return picker.pickForRetry(request, previous, nowUs);
     }
 }
--- a/src/main/java/loadbalancer/policy/EndpointState.java
+++ b/src/main/java/loadbalancer/policy/EndpointState.java
@@ -1,11 +1,11 @@
 package loadbalancer.policy;
 
-/** Whether an endpoint takes requests, by the endpoint list. */
+/** Whether an endpoint takes requests, according to the endpoint list. */
 public enum EndpointState {
     /** Takes requests. */
     READY,
-    /** Completes what it has and takes no new requests. */
+    /** Completes the requests that it has and takes no new ones. */
     DRAINING,
-    /** No longer in the list. */
+    /** No longer in the endpoint list. */
     REMOVED
 }
--- a/src/main/java/loadbalancer/policy/Idempotency.java
+++ b/src/main/java/loadbalancer/policy/Idempotency.java
@@ -2,10 +2,13 @@
 
 /** Whether a request may be executed more than once. */
 public enum Idempotency {
-    /** It may be executed any number of times. */
+    /** The request may be executed any number of times. */
     IDEMPOTENT,
-    /** Endpoints within its {@link DeduplicationScope} drop repetitions by its idempotency key for some time. */
+    /**
+     * The request has an idempotency key, by which the endpoints of a {@link DeduplicationScope} drop repetitions of it
+     * for a limited time.
+     */
     IDEMPOTENCY_KEY,
-    /** It must not be executed twice. */
+    /** The request must not be executed more than once. */
     NON_IDEMPOTENT
 }
--- a/src/main/java/loadbalancer/policy/LoadBalancer.java
+++ b/src/main/java/loadbalancer/policy/LoadBalancer.java
@@ -3,43 +3,48 @@
 import java.util.List;
 
 /**
- * The whole interface of the decision module: the events that its caller reports, and through
- * {@link LoadBalancerActions} the actions that it requires of the caller.
+ * The interface of the decision module. The caller reports events by these methods, and executes the actions that the
+ * module requests through {@link LoadBalancerActions}.
  *
- * <p>Times are microseconds of the caller's clock, which never goes backwards; durations are microseconds too. An
- * instance serves one proxy node, is single-threaded, never blocks and calls its {@link LoadBalancerActions} only from
- * within an event method. The same events and seed give the same actions.
+ * <p>Times and durations are in microseconds; times are read from the caller's clock, which never goes backwards. An
+ * instance serves one proxy node, is single-threaded and never blocks. It calls its {@link LoadBalancerActions} only
+ * while it handles an event. The same events with the same seed result in the same actions.
  */
 public interface LoadBalancer {
 
-    /** An endpoint list; endpoints missing from a {@link EndpointListKind#FULL} list have been removed. */
+    /**
+     * Reports an endpoint list or changes of it. An endpoint that is missing from a {@link EndpointListKind#FULL} list
+     * has been removed.
+     */
     void onEndpointList(long nowUs, EndpointListKind kind, List<EndpointListEntry> entries);
 
-    /** A request for the endpoint list has failed or its watch broke; the list stays as it is. */
+    /** Reports that a request for the endpoint list failed or its watch broke. The known list stays in use. */
     void onEndpointListFailed(long nowUs);
 
     /**
-     * The lease on the endpoint list ends at another time. Without a lease no attempt begins, and requests without
-     * attempts in flight are rejected. Without this event the lease is held for good.
+     * Reports a new end of the lease on the endpoint list. Without a lease, no attempt starts, and requests that have no
+     * attempt in flight get a final response: a rejection where the client may safely retry, else a failure. Until the
+     * first call of this method, the lease has no end.
      */
     void onLeaseChanged(long nowUs, long endsAtUs);
 
     /**
-     * A client's request; it gets exactly one final response.
+     * Reports a request from a client. It gets exactly one final response, or none if its client disconnects before.
      *
-     * @throws IllegalArgumentException if its class or tenant is not in the settings, or its id is already pending
+     * @throws IllegalArgumentException if the settings do not contain the class or tenant of the request, or if a
+     *     request with the same id is pending
      */
     void onRequest(long nowUs, Request request);
 
-    /** How one attempt ended. Attempts that are not known are ignored. */
+    /** Reports how one attempt ended. Outcomes of unknown attempts are ignored. */
     void onAttemptOutcome(long nowUs, AttemptOutcome outcome);
 
-    /** An attempt of a streamed class has begun to respond; it has no deadline from here on. */
-    void onFirstByte(long nowUs, long requestId, int attempt);
+    /** Reports the first byte of a response in a streamed class. The attempt has no deadline from then on. */
+    void onFirstByte(long nowUs, long requestId, int attemptNumber);
 
-    /** The client has closed its connection; it gets no response. Ids that are not pending are ignored. */
+    /** Reports that a client has closed its connection. Its request gets no response. Unknown ids are ignored. */
     void onClientDisconnected(long nowUs, long requestId);
 
-    /** The time set with {@link LoadBalancerActions#setTimer} has come. */
+    /** Reports that the time set with {@link LoadBalancerActions#setTimer} has been reached. */
     void onTimer(long nowUs);
 }
--- a/src/main/java/loadbalancer/policy/LoadBalancerActions.java
+++ b/src/main/java/loadbalancer/policy/LoadBalancerActions.java
@@ -2,37 +2,40 @@
 
 import loadbalancer.policy.log.PolicyEvent;
 
-/** The actions that the decision module requires of its caller. Calls take effect in order, at the time of the event. */
+/**
+ * The actions that the decision module requests from its caller. They take effect in the order of the calls, at the
+ * time of the event that the module is handling.
+ */
 public interface LoadBalancerActions {
     /**
-     * Start the next attempt of a request; attempts are numbered from 0.
+     * Starts the next attempt of a request. The attempts of a request are numbered from 0 in the order of their starts.
      *
-     * @param deadlineUs when the attempt has to end
+     * @param deadlineUs the time by which the attempt must have ended
      */
     void startAttempt(long requestId, String endpointId, long deadlineUs);
 
-    /** Stop waiting for an attempt; its outcome is still reported. */
-    void cancelAttempt(long requestId, int attempt);
+    /** Stops waiting for an attempt. The caller still reports the outcome of the attempt. */
+    void cancelAttempt(long requestId, int attemptNumber);
 
     /**
-     * Final response: rejected, so that the client may safely retry.
+     * Gives the final response of a request: rejected, which means that the client may safely retry.
      *
-     * @param retryAfterUs when the client should retry, in microseconds from now; 0 gives no advice
+     * @param retryAfterUs the time after which the client should retry, counted from now; 0 for none
      */
     void reject(long requestId, long retryAfterUs);
 
-    /** Final response: failed, with no promise about the effect of the request. */
+    /** Gives the final response of a request: failed, which means that an endpoint may have executed the request. */
     void fail(long requestId);
 
-    /** Call {@link LoadBalancer#onTimer} at this time or soon after. The latest call replaces earlier ones. */
+    /** Requests a call of {@link LoadBalancer#onTimer} at this time or soon after; replaces an earlier such request. */
     void setTimer(long atUs);
 
-    /** Close this instance's idle connections to an endpoint. */
+    /** Closes this instance's idle connections to an endpoint. */
     void closeIdleConnections(String endpointId);
 
-    /** Request the changes of the endpoint list, now and as they come. */
+    /** Requests the changes of the endpoint list: those since the known list now, and later ones as they occur. */
     void watchEndpointList();
 
-    /** Log a decision for operators. */
+    /** Logs a decision for operators. */
     void record(PolicyEvent event);
 }
--- a/src/main/java/loadbalancer/policy/LoadBalancerSettings.java
+++ b/src/main/java/loadbalancer/policy/LoadBalancerSettings.java
@@ -3,68 +3,72 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The settings of one load balancer instance. Times are in microseconds. */
+/** The settings of one load balancer instance. */
 public final class LoadBalancerSettings {
-    /** Number of load balancer instances, this one included. */
+    /** Number of load balancer instances in the fleet, including this one. */
     public int instances = 1;
-    /** The number of this instance among them, from 0. */
+    /** Index of this instance in the fleet, from 0. */
     public int instanceIndex;
-    /** The zone of this instance, an index into {@link #zones}. */
+    /** Zone of this instance, as an index into {@link #zones}. */
     public int localZone;
     /** Names of the zones. */
     public List<String> zones = new ArrayList<>();
-    /** Request classes; at least one. */
+    /** Request classes; there must be at least one. */
     public List<RequestClass> classes = new ArrayList<>();
     /** Tenants; may be empty. */
     public List<Tenant> tenants = new ArrayList<>();
-    /** Priority weight of a request beyond its tenant's quota, relative to that of its class. */
+    /** Factor by which the priority weight of a request changes if its tenant is over its quota. */
     public double overQuotaPriorityWeight = 1;
-    /** Whether priority weights count for each unit of work and not for each request. */
+    /** Whether priority weights are for each unit of work; otherwise they are for each request. */
     public boolean weightByWork;
-    /** Most attempts for a request. */
+    /** Maximum number of attempts for a request. */
     public int maxAttempts = 3;
     /** Whether a request may have two attempts in flight at once. */
     public boolean hedgingEnabled;
     /** Whether attempts may be cancelled. */
     public boolean cancellationEnabled;
-    /** Longest Retry-After of a rejected request; 0 if it may not have one. */
+    /** Maximum Retry-After of a rejected request; 0 if there must be none. */
     public long maxRetryAfterUs;
-    /** Shortest time between two events. */
+    /** Minimum time between two events. */
     public long eventIntervalUs = 1_000;
-    /** Time allowed to open a connection. */
+    /** Maximum time to open a connection. */
     public long connectTimeoutUs = 250_000;
-    /** Whether the endpoint list must be polled; otherwise it is pushed. */
+    /** Whether the module must poll the endpoint list; otherwise the caller reports it without being asked. */
     public boolean endpointListPolled;
-    /** Longest time between two polls of the endpoint list without a subscription. */
+    /** Maximum time between two polls of the endpoint list while there is no watch. */
     public long pollIntervalUs = 10_000_000;
-    /** Attempts on an endpoint must end this long after the notification that it is draining or removed. */
+    /** Time after the notification that an endpoint is draining or removed until which attempts there may continue. */
     public long drainGraceUs = 1_000_000;
-    /** The least share of its capacity with which an endpoint starts. */
+    /** Minimum share of its full capacity that an endpoint has when its process starts. */
     public double initialCapacityShare = 0.2;
-    /** The longest slow start of an endpoint, after which it has its full capacity. */
+    /** Maximum duration of the slow start of an endpoint, after which it has its full capacity. */
     public long slowStartUs = 20_000_000;
-    /** A warming-up endpoint fails if all instances together send it so many times its current capacity. */
+    /** Multiple of its current capacity at which the load from all instances makes a warming-up endpoint fail. */
     public double overloadFactor = 3;
-    /** The time over which such a load makes a warming-up endpoint fail. */
+    /** Time for which a load of {@link #overloadFactor} must last to make a warming-up endpoint fail. */
     public long overloadWindowUs = 2_000_000;
-    /** Cost of an attempt in another zone; 0 if it has none. */
+    /** Cost of an attempt at an endpoint in another zone; 0 if it costs nothing. */
     public double crossZoneCost;
-    /** Whether endpoints cache keys, so that serving a recent key again is less work. */
+    /** Whether endpoints cache the results for keys, so that a recent key takes less work to serve again. */
     public boolean endpointsCacheKeys;
-    /** The fields of load reports, in order; empty if there are none. */
+    /** Fields of the load reports, in the order of their values; empty if there are no load reports. */
     public List<LoadReportField> loadReportFields = new ArrayList<>();
 
     /**
-     * Checks the ranges of all settings.
+     * Checks that required settings are present and that numbers are in their ranges.
      *
-     * @throws IllegalArgumentException if a setting is missing or out of range; the message names it
+     * @throws IllegalArgumentException if a setting is missing or out of range; the message names the setting
      */
     public void validate() {
         require(!classes.isEmpty(), "classes is empty");
-        require(instances >= 1, "instances is under 1");
-        require(instanceIndex >= 0 && instanceIndex < instances, "me is not among the instances");
-        require(maxAttempts >= 1, "maxAttempts is under 1");
-        require(localZone >= 0 && localZone < Math.max(1, zones.size()), "localZone is not among zones");
+        require(instances >= 1, "instances is below 1: " + instances);
+        require(
+                instanceIndex >= 0 && instanceIndex < instances,
+                "instanceIndex is not from 0 to " + (instances - 1) + ": " + instanceIndex);
+        require(maxAttempts >= 1, "maxAttempts is below 1: " + maxAttempts);
+        require(
+                localZone >= 0 && localZone < Math.max(1, zones.size()),
+                "localZone is not an index into zones: " + localZone);
         requireNotNegative(eventIntervalUs, "eventIntervalUs");
         requireNotNegative(slowStartUs, "slowStartUs");
         requireNotNegative(overloadWindowUs, "overloadWindowUs");
@@ -72,20 +76,22 @@
         requireNotNegative(connectTimeoutUs, "connectTimeoutUs");
         requireNotNegative(pollIntervalUs, "pollIntervalUs");
         requireNotNegative(maxRetryAfterUs, "maxRetryAfterUs");
-        require(initialCapacityShare > 0 && initialCapacityShare <= 1, "initialCapacityShare is not in (0, 1]");
-        require(overloadFactor > 0, "overloadFactor is not above 0");
+        require(
+                initialCapacityShare > 0 && initialCapacityShare <= 1,
+                "initialCapacityShare is not in (0, 1]: " + initialCapacityShare);
+        require(overloadFactor > 0, "overloadFactor is not above 0: " + overloadFactor);
         classes.forEach(LoadBalancerSettings::validate);
     }
 
     private static void validate(RequestClass requestClass) {
         try {
             requireNotNegative(requestClass.latencyObjectiveUs(), "latencyObjectiveUs");
-            require(requestClass.deadlineUs() > 0, "deadlineUs is not above 0");
+            require(requestClass.deadlineUs() > 0, "deadlineUs is not above 0: " + requestClass.deadlineUs());
             requireNotNegative(requestClass.deduplicationWindowUs(), "deduplicationWindowUs");
             requireNotNegative(requestClass.latencyObjectiveStretch(), "latencyObjectiveStretch");
             requireNotNegative(requestClass.priorityWeight(), "priorityWeight");
             requireNotNegative(requestClass.latePriorityWeight(), "latePriorityWeight");
-            require(hasDeduplicationScope(requestClass), "deduplicationScope is missing");
+            require(hasDeduplicationScope(requestClass), "deduplicationScope is missing, which idempotency keys require");
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("class " + requestClass.name() + ": " + e.getMessage(), e);
         }
--- a/src/main/java/loadbalancer/policy/LoadReportField.java
+++ b/src/main/java/loadbalancer/policy/LoadReportField.java
@@ -1,19 +1,19 @@
 package loadbalancer.policy;
 
-/** What a load report of an endpoint may contain. */
+/** The fields that an endpoint's load report may contain. */
 public enum LoadReportField {
-    /** Requests that it executes. */
+    /** Number of requests that the endpoint is executing. */
     IN_FLIGHT,
-    /** Requests that wait there. */
+    /** Number of requests that wait at the endpoint. */
     QUEUED,
-    /** Share of its capacity in use. */
+    /** Share of the endpoint's capacity that is in use. */
     UTILIZATION,
     /** Mean latency in milliseconds. */
     LATENCY_MS,
-    /** Responses a second. */
+    /** Responses per second. */
     REQUESTS_PER_SECOND,
-    /** Errors a second. */
+    /** Errors per second. */
     ERRORS_PER_SECOND,
-    /** Anything else. */
+    /** A field that is not known to this program. */
     OTHER
 }
--- a/src/main/java/loadbalancer/policy/Request.java
+++ b/src/main/java/loadbalancer/policy/Request.java
@@ -1,14 +1,14 @@
 package loadbalancer.policy;
 
 /**
- * A client's request.
+ * A request from a client.
  *
- * @param id unique among the pending requests
+ * @param id identifies the request; unique among the pending requests
  * @param classIndex index into {@link LoadBalancerSettings#classes}
- * @param tenant index into {@link LoadBalancerSettings#tenants}, or -1
- * @param remainingUs time until the client stops waiting
- * @param workUs rough expected work on a standard core; 0 if not known
- * @param retry whether the client is known to have sent it before
- * @param key what the request is about, for key affinity, or null
+ * @param tenant index into {@link LoadBalancerSettings#tenants}, or -1 for a request without a tenant
+ * @param remainingUs time until the client stops waiting for a response
+ * @param workUs rough estimate of the work, as time on a standard core; 0 if unknown
+ * @param retry whether the client is known to have sent this request before
+ * @param key the key by which key affinity selects endpoints, or null if the request has none
  */
 public record Request(long id, int classIndex, int tenant, long remainingUs, long workUs, boolean retry, String key) {}
--- a/src/main/java/loadbalancer/policy/RequestClass.java
+++ b/src/main/java/loadbalancer/policy/RequestClass.java
@@ -3,15 +3,17 @@
 /**
  * A class of requests.
  *
- * @param name as the settings name it
- * @param latencyObjectiveUs responses within this time earn the full priority weight
- * @param latencyObjectiveStretch the objective grows by this many times the request's own work, up to the deadline
- * @param deadlineUs how long a client waits in total, over all its retries
- * @param priorityWeight the weight of a request
- * @param latePriorityWeight part of the weight that a response after the objective earns
- * @param idempotency whether a request may be executed again
- * @param deduplicationScope with an idempotency key: which endpoints drop repetitions
- * @param deduplicationWindowUs with an idempotency key: for how long, from the first attempt that may have been executed
+ * @param name the name of the class in the settings
+ * @param latencyObjectiveUs time within which a response earns the full priority weight
+ * @param latencyObjectiveStretch how much later the objective is for each microsecond of a request's own work; the
+ *     objective is never later than the deadline
+ * @param deadlineUs how long a client waits in total, including its own retries
+ * @param priorityWeight weight of a request of the class when priorities are determined
+ * @param latePriorityWeight factor of the priority weight that a response after the objective still earns, from 0
+ * @param idempotency whether a request may be executed more than once
+ * @param deduplicationScope the endpoints that drop repetitions of a request with an idempotency key
+ * @param deduplicationWindowUs how long these endpoints drop repetitions, from the start of the first attempt that may
+ *     have been executed
  * @param streaming whether responses are streamed
  */
 public record RequestClass(
--- a/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
+++ b/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
@@ -27,22 +27,30 @@
 import loadbalancer.policy.statistics.TimelyResponseRate;
 
 /**
- * The decisions of the load balancer, by event: which parts of the module take part, in which order.
+ * The decision module: handles each event by calls to its parts in a fixed order.
  *
- * <p>The ordinary path is the ServiceQ mechanism. A failed attempt adds one to its endpoint's error count, and a success
- * clears it ({@link OutlierDetector}). A first attempt picks two endpoints by weights that fall with the count and goes
- * to the one with fewer of this instance's requests in flight ({@link EndpointPicker}). A failure that may be retried
- * goes to the next endpoint in list order ({@link RetryRules}, {@link AttemptDispatcher}). Where no endpoint has
- * capacity ({@link ConcurrencyLimiter}, {@link SlowStart}) the request waits ({@link RequestQueue}).
+ * <p>Normally the ServiceQ mechanism applies. A failed attempt adds one to its endpoint's error count, and a success
+ * clears the count ({@link OutlierDetector}). For a first attempt, two endpoints are picked by weights that fall as the
+ * error count rises, and the one with fewer of this instance's requests in flight is selected ({@link EndpointPicker}).
+ * After a failure, a request that may be retried goes to the next endpoint in list order ({@link RetryRules},
+ * {@link AttemptDispatcher}). If no endpoint has capacity ({@link ConcurrencyLimiter}, {@link SlowStart}), the request
+ * is queued ({@link RequestQueue}).
  */
 public final class ServiceQLoadBalancer implements LoadBalancer {
-    /** Shortest interval between two looks at queued requests: long against its cost, short against any objective. */
+    /**
+     * Minimum interval between two sweeps of the request queue: long compared with the cost of a sweep, short compared
+     * with any latency objective.
+     */
     private static final long MIN_SWEEP_INTERVAL_US = 5_000;
 
-    /** Queued requests with a key for which endpoints are looked for in vain at each event, and at each timer. */
-    private static final int KEYED_PICKS_PER_EVENT = 4;
+    /**
+     * Maximum number of queued requests with a key for which a search for an endpoint may fail at each event other than
+     * a timer.
+     */
+    private static final int MAX_FAILED_KEYED_PICKS_PER_EVENT = 4;
 
-    private static final int KEYED_PICKS_PER_TIMER = 64;
+    /** Maximum number of queued requests with a key for which a search for an endpoint may fail at each timer. */
+    private static final int MAX_FAILED_KEYED_PICKS_PER_TIMER = 64;
 
     private final LoadBalancerSettings settings;
     private final long sweepIntervalUs;
@@ -64,7 +72,7 @@
     private final TimerSchedule timer;
 
     /**
-     * An instance that has just started and has learned nothing.
+     * Creates an instance that knows no endpoints and has no statistics yet.
      *
      * @throws IllegalArgumentException if the settings are out of range
      */
@@ -104,7 +112,7 @@
         activeEndpoints.update(registry.listed(), nowUs);
         registry.forgetRemoved();
         poller.onEndpointList(kind, nowUs);
-        queue.dispatch(KEYED_PICKS_PER_EVENT, nowUs);
+        queue.dispatch(MAX_FAILED_KEYED_PICKS_PER_EVENT, nowUs);
         scheduleTimer(nowUs);
     }
 
@@ -119,7 +127,7 @@
     @Override
     public void onLeaseChanged(long nowUs, long endsAtUs) {
         lease.onLeaseChanged(endsAtUs, nowUs);
-        queue.dispatch(KEYED_PICKS_PER_EVENT, nowUs);
+        queue.dispatch(MAX_FAILED_KEYED_PICKS_PER_EVENT, nowUs);
         scheduleTimer(nowUs);
     }
 
@@ -155,15 +163,15 @@
     }
 
     private void startOrEnqueue(PendingRequest request, long nowUs) {
-        // A request that finds others in the queue waits behind them, but for one with a key: they may wait for
-        // other endpoints.
+        // A new request waits behind those in the queue. One with a key need not: the queued requests may wait for
+        // other endpoints than those of its key.
         boolean mayStart = nowUs < request.deadlineAtUs() && (queue.isEmpty() || request.hasKeyAffinity());
         Endpoint endpoint = mayStart ? selector.selectFirstEndpoint(request, nowUs) : null;
         if (endpoint != null) {
             dispatcher.startAttempt(request, endpoint, nowUs);
         } else {
             queue.enqueue(request);
-            queue.dispatch(KEYED_PICKS_PER_EVENT, nowUs);
+            queue.dispatch(MAX_FAILED_KEYED_PICKS_PER_EVENT, nowUs);
         }
     }
 
@@ -177,20 +185,20 @@
         request.endAttempt(attempt, outcome.result());
         limiter.release(attempt);
         activeEndpoints.closeIfUnused(attempt.endpoint());
-        learnFrom(request, attempt, outcome, nowUs);
+        recordOutcome(request, attempt, outcome, nowUs);
         if (outcome.requestEnded()) {
             dispatcher.finish(request);
         } else if (!request.isFinished() && request.inFlight() == 0) {
             dispatcher.retryOrFinish(request, attempt.endpoint(), queue, nowUs);
         }
-        dispatcher.forgetIfDone(request);
-        queue.dispatch(KEYED_PICKS_PER_EVENT, nowUs);
+        dispatcher.removeIfDone(request);
+        queue.dispatch(MAX_FAILED_KEYED_PICKS_PER_EVENT, nowUs);
         scheduleTimer(nowUs);
     }
 
-    private void learnFrom(PendingRequest request, Attempt attempt, AttemptOutcome outcome, long nowUs) {
+    private void recordOutcome(PendingRequest request, Attempt attempt, AttemptOutcome outcome, long nowUs) {
         updateHealth(request, attempt, outcome, nowUs);
-        limiter.onOutcome(request, attempt, observe(request, outcome, nowUs), nowUs);
+        limiter.onOutcome(request, attempt, updateStatistics(request, outcome, nowUs), nowUs);
         if (outcome.result() == AttemptResult.OK || outcome.result() == AttemptResult.ERROR) {
             attempt.endpoint().healthOf(request.classIndex()).recordResponse(nowUs);
             attempt.endpoint().concurrency().recordAnsweredAttempt(attempt.startedAtUs());
@@ -202,11 +210,11 @@
         int classIndex = request.classIndex();
         switch (outcome.result()) {
             case OK -> {
-                boolean slow = latencies.isSlowerThanMost(classIndex, outcome.latencyUs());
-                outlierDetector.onSuccess(endpoint, classIndex, slow, nowUs);
+                boolean isSlow = latencies.isSlowerThanMost(classIndex, outcome.latencyUs());
+                outlierDetector.onSuccess(endpoint, classIndex, isSlow, nowUs);
             }
             case CANCELLED, NOT_SENT -> {
-                // They say nothing of the endpoint.
+                // Such an attempt says nothing about the health of the endpoint.
             }
             default -> {
                 if (!attempt.isCountedAsFailure()) {
@@ -216,15 +224,22 @@
         }
     }
 
-    /** A rejection, or a time-out at an endpoint that has answered since, says something of its load only. */
+    /**
+     * Returns whether a failure indicates overload of the endpoint rather than a fault: a rejection, or a timeout
+     * although the endpoint has responded to a request of the class since the attempt started.
+     */
     private static boolean isOverload(Attempt attempt, int classIndex, AttemptOutcome outcome) {
-        EndpointHealth ofClass = attempt.endpoint().healthOf(classIndex);
+        EndpointHealth classHealth = attempt.endpoint().healthOf(classIndex);
         return outcome.result() == AttemptResult.REJECTED
-                || (outcome.result() == AttemptResult.TIMEOUT && ofClass.lastResponseAtUs() >= attempt.startedAtUs());
+                || (outcome.result() == AttemptResult.TIMEOUT
+                        && classHealth.lastResponseAtUs() >= attempt.startedAtUs());
     }
 
-    /** Takes an outcome into the statistics. */
-    private ObservedOutcome observe(PendingRequest request, AttemptOutcome outcome, long nowUs) {
+    /**
+     * Updates the statistics with an outcome. An attempt that is cancelled because its client disconnected counts as
+     * abandoned as slow if it had already taken longer than most attempts of its class.
+     */
+    private ObservedOutcome updateStatistics(PendingRequest request, AttemptOutcome outcome, long nowUs) {
         AttemptResult result = outcome.result();
         int classIndex = request.classIndex();
         boolean abandonedAsSlow = result == AttemptResult.CANCELLED
@@ -242,7 +257,7 @@
     }
 
     @Override
-    public void onFirstByte(long nowUs, long requestId, int attempt) {
+    public void onFirstByte(long nowUs, long requestId, int attemptNumber) {
         PendingRequest request = dispatcher.find(requestId);
         if (request != null) {
             request.setStreaming();
@@ -260,13 +275,14 @@
 
     @Override
     public void onTimer(long nowUs) {
-        boolean suspended = timer.onFired(nowUs);
+        boolean wasSuspended = timer.onFired(nowUs);
         poller.onTimer(nowUs);
-        if (!suspended) {
-            // After a suspension of this process, responses are still to be read.
+        if (!wasSuspended) {
+            // After a suspension of this process, responses that have arrived may still be unread, so that an attempt
+            // without a response is not necessarily unresponsive.
             unresponsiveAttempts.detect(this::onUnresponsiveAttempt, nowUs);
         }
-        queue.dispatch(KEYED_PICKS_PER_TIMER, nowUs);
+        queue.dispatch(MAX_FAILED_KEYED_PICKS_PER_TIMER, nowUs);
         scheduleTimer(nowUs);
     }
 
@@ -278,15 +294,16 @@
         }
         if (endpoint.concurrency().slowness() < 1
                 && endpoint.concurrency().newestAnsweredAttemptAtUs() > attempt.startedAtUs()) {
-            // It is quick with later ones: what it has lost must not use capacity that these could have.
+            // The endpoint answers later attempts quickly, so it has lost this one, which must no longer take up
+            // capacity that other requests could use.
             limiter.release(attempt);
         }
         dispatcher.hedge(request, endpoint, nowUs);
     }
 
     private void scheduleTimer(long nowUs) {
-        long sweepUs = nowUs + sweepIntervalUs;
-        long atUs = Math.min(poller.nextPollUs(), unresponsiveAttempts.nextCheckUs(sweepUs));
-        timer.schedule(queue.isEmpty() ? atUs : Math.min(atUs, sweepUs), nowUs);
+        long nextSweepUs = nowUs + sweepIntervalUs;
+        long nextCheckUs = Math.min(poller.nextPollUs(), unresponsiveAttempts.nextCheckUs(nextSweepUs));
+        timer.schedule(queue.isEmpty() ? nextCheckUs : Math.min(nextCheckUs, nextSweepUs), nowUs);
     }
 }
--- a/src/main/java/loadbalancer/policy/Tenant.java
+++ b/src/main/java/loadbalancer/policy/Tenant.java
@@ -1,9 +1,9 @@
 package loadbalancer.policy;
 
 /**
- * A tenant.
+ * A tenant, whose requests share one quota.
  *
- * @param name as the settings name it
- * @param quotaPerSecond requests a second that all instances together serve within its quota; 0 means no limit
+ * @param name the name of the tenant in the settings
+ * @param quotaPerSecond requests per second that the quota allows, over all instances together; 0 means no limit
  */
 public record Tenant(String name, double quotaPerSecond) {}
--- a/src/main/java/loadbalancer/policy/TimerSchedule.java
+++ b/src/main/java/loadbalancer/policy/TimerSchedule.java
@@ -1,37 +1,38 @@
 package loadbalancer.policy;
 
-/** The one timer that the module has pending with its caller. */
+/** Keeps track of the single timer that the module has set with its caller. */
 final class TimerSchedule {
-    private static final long NONE = Long.MAX_VALUE;
+    private static final long NO_TIMER = Long.MAX_VALUE;
 
-    /** A timer that fires so much too late shows that the process was suspended. */
-    private static final long SUSPENDED_AFTER_US = 50_000;
+    /** Delay of a timer beyond which the process is assumed to have been suspended. */
+    private static final long SUSPENSION_THRESHOLD_US = 50_000;
 
     private final LoadBalancerActions actions;
-    private long pendingUs = NONE;
+    private long pendingAtUs = NO_TIMER;
 
     TimerSchedule(LoadBalancerActions actions) {
         this.actions = actions;
     }
 
     /**
-     * The timer has fired.
+     * Notes that a timer has fired. The pending timer stays set if it is not due yet, which is the case if an earlier
+     * timer that it replaced has fired.
      *
-     * @return whether it fired so late that the process was suspended meanwhile
+     * @return whether the pending timer is so late that the process is assumed to have been suspended
      */
     boolean onFired(long nowUs) {
-        boolean suspended = pendingUs != NONE && nowUs > pendingUs + SUSPENDED_AFTER_US;
-        if (nowUs >= pendingUs) {
-            pendingUs = NONE;
+        boolean wasSuspended = pendingAtUs != NO_TIMER && nowUs > pendingAtUs + SUSPENSION_THRESHOLD_US;
+        if (nowUs >= pendingAtUs) {
+            pendingAtUs = NO_TIMER;
         }
-        return suspended;
+        return wasSuspended;
     }
 
-    /** Sets the timer if it is to fire before the pending one. */
+    /** Sets the timer, to a time after {@code nowUs}, unless the pending timer is due at {@code atUs} or earlier. */
     void schedule(long atUs, long nowUs) {
-        if (atUs < pendingUs) {
-            pendingUs = Math.max(atUs, nowUs + 1);
-            actions.setTimer(pendingUs);
+        if (atUs < pendingAtUs) {
+            pendingAtUs = Math.max(atUs, nowUs + 1);
+            actions.setTimer(pendingAtUs);
         }
     }
 }
