--- a/src/main/java/loadbalancer/policy/LoadBalancerSettings.java
+++ b/src/main/java/loadbalancer/policy/LoadBalancerSettings.java
@@ -91,7 +91,7 @@
             requireNotNegative(requestClass.latencyObjectiveStretch(), "latencyObjectiveStretch");
             requireNotNegative(requestClass.priorityWeight(), "priorityWeight");
             requireNotNegative(requestClass.latePriorityWeight(), "latePriorityWeight");
-            require(hasDeduplicationScope(requestClass), "deduplicationScope is missing, which idempotency keys require");
+            require(hasDeduplicationScope(requestClass), "deduplicationScope is missing; idempotency keys require one");
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("class " + requestClass.name() + ": " + e.getMessage(), e);
         }
--- a/src/test/java/loadbalancer/KnownRedTest.java
+++ b/src/test/java/loadbalancer/KnownRedTest.java
@@ -44,8 +44,8 @@
     @Test
     void listedTestsAreNamed() throws Exception {
         assertEquals(
-                new Reading(0, "KnownRedTest#listedTestsAreNamed\nReadmeExampleTest#aRequestIsSentAndServed"),
-                read(ENTRY, entry("ReadmeExampleTest#aRequestIsSentAndServed")));
+                new Reading(0, "KnownRedTest#listedTestsAreNamed\nMinimalUsageTest#aRequestIsSentAndServed"),
+                read(ENTRY, entry("MinimalUsageTest#aRequestIsSentAndServed")));
     }
 
     @Test
@@ -59,7 +59,7 @@
         assertEquals(1, read(entry("KnownRedTest#noSuchTest")).exitCode());
         assertEquals(1, read(entry("NoSuchTest#listedTestsAreNamed")).exitCode());
         // A helper method of a test class is not a test.
-        assertEquals(1, read(entry("ReadmeExampleTest#startAttempt")).exitCode());
+        assertEquals(1, read(entry("MinimalUsageTest#startAttempt")).exitCode());
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/ActionDigestTest.java
+++ b/src/test/java/loadbalancer/policy/ActionDigestTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The same events and seed give the same actions: a digest of all actions that the module takes in some thousand events.
- * A change of its structure keeps every digest; a change of its behaviour records new ones and says so.
+ * Guards against unintended changes of behavior: compares a digest of all actions that the decision module takes during
+ * thousands of random events with a recorded digest. A commit that changes only the structure of the module keeps all
+ * digests; a commit that changes its behavior records new ones and says so.
  */
 class ActionDigestTest {
     private static final int EVENTS = 4_000;
@@ -41,8 +42,8 @@
         "5, 120, false, 4205597958",
         "6, 120, true, 38130741"
     })
-    void actionsMatchTheRecordedDigest(long seed, int instances, boolean endpointsCacheKeys, long digest) {
-        assertEquals(digest, digest(seed, instances, endpointsCacheKeys));
+    void actionsMatchTheRecordedDigest(long seed, int instances, boolean endpointsCacheKeys, long recordedDigest) {
+        assertEquals(recordedDigest, digest(seed, instances, endpointsCacheKeys));
     }
 
     private static LoadBalancerSettings settings(int instances, boolean endpointsCacheKeys) {
@@ -59,9 +60,9 @@
         return settings;
     }
 
-    private static EndpointListEntry entry(SplittableRandom random, int number, long now) {
+    private static EndpointListEntry entry(SplittableRandom random, int number, long nowUs) {
         EndpointState state = random.nextInt(5) == 0 ? EndpointState.DRAINING : EndpointState.READY;
-        long startedAtUs = random.nextInt(4) == 0 ? now - random.nextLong(10_000_000) : 0;
+        long startedAtUs = random.nextInt(4) == 0 ? nowUs - random.nextLong(10_000_000) : 0;
         return new EndpointListEntry("server-" + number, number % 2, number / 8, state, 1, startedAtUs);
     }
 
@@ -121,7 +122,7 @@
                         null));
     }
 
-    /** Formats attempts in the text over which the digests were recorded; its names are those of that time. */
+    /** Formats attempts as in the text of which the digests were recorded. Its labels must not change with the code. */
     private static String format(List<LoadBalancerFixture.StartedAttempt> attempts) {
         return attempts.stream()
                 .map(attempt -> "Sent[atUs=" + attempt.startedAtUs() + ", request=" + attempt.requestId() + ", attempt="
--- a/src/test/java/loadbalancer/policy/ActiveEndpointsTest.java
+++ b/src/test/java/loadbalancer/policy/ActiveEndpointsTest.java
@@ -10,10 +10,10 @@
 
 import loadbalancer.policy.model.Endpoint;
 
-/** Which endpoints {@link ActiveEndpoints} uses, and when connections to the others are closed. */
+/** Tests which endpoints {@link ActiveEndpoints} uses, and when it closes connections to the others. */
 class ActiveEndpointsTest {
     private final DecisionModuleParts parts = new DecisionModuleParts();
-    private final Endpoint[] endpoints = parts.useEndpoints("a", "b", "c");
+    private final Endpoint[] endpoints = parts.activateEndpoints("a", "b", "c");
 
     private void update(Endpoint... listed) {
         parts.activeEndpoints.update(List.of(listed), DecisionModuleParts.NOW_US);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void activeEndpointsHaveTheirPositionAndALimit() {
+    void activeEndpointsGetAPositionAndAnInitialLimit() {
         for (int i = 0; i < endpoints.length; i++) {
             assertTrue(endpoints[i].isActive());
             assertEquals(i, endpoints[i].position());
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void ejectedEndpointsThatAreNoLongerActiveAreForgottenByOutlierDetection() {
+    void outlierDetectionForgetsEjectedEndpointsThatAreNoLongerActive() {
         parts.eject(endpoints[0]);
         assertTrue(parts.outlierDetector.hasEjectedEndpoints());
         update(endpoints[1], endpoints[2]);
--- a/src/test/java/loadbalancer/policy/AdmissionTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Admission: concurrency limits, tenant quotas, and the queue of requests that find no capacity. */
+/** Tests concurrency limits, tenant quotas, and the queue of requests for which no endpoint has capacity. */
 class AdmissionTest {
 
     @Test
@@ -35,7 +35,8 @@
             ids.add(instance.sendRequest(LoadBalancerFixture.IDEMPOTENT));
         }
         long highPriority = instance.sendRequest(5);
-        // Two instances start with a limit of two each at two endpoints: the fifth request and the last one are queued.
+        // Each of the two instances starts with a limit of two requests at each of the two endpoints, so the fifth
+        // request and the one of high priority are queued.
         assertEquals(4, instance.startedAttempts.size());
         instance.completeLastAttempt(ids.get(0), AttemptResult.OK, 10_000);
         assertEquals(highPriority, instance.startedAttempts.get(4).requestId());
@@ -60,7 +61,7 @@
         assertTrue(quick.startedAttempts.size() - 60 >= 3, "attempts " + quick.startedAttempts.size());
     }
 
-    /** Of the two tenants the first is over its quota from the second request on. */
+    /** Returns settings with two tenants, of which the first exceeds its quota from its second request on. */
     private static LoadBalancerSettings settingsWithQuotas() {
         LoadBalancerSettings settings = LoadBalancerFixture.settings();
         settings.tenants.clear();
@@ -74,16 +75,16 @@
     void aTenantOverItsQuotaIsQueuedBehindOneWithinIt() {
         LoadBalancerSettings settings = settingsWithQuotas();
         LoadBalancerFixture instance = new LoadBalancerFixture(settings, 3).withEndpoints(1);
-        List<Long> first = new ArrayList<>();
+        List<Long> inFlight = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            first.add(instance.sendRequest(LoadBalancerFixture.IDEMPOTENT, 1, 1_000_000));
+            inFlight.add(instance.sendRequest(LoadBalancerFixture.IDEMPOTENT, 1, 1_000_000));
         }
         List<Long> overQuota = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             overQuota.add(instance.sendRequest(LoadBalancerFixture.IDEMPOTENT, 0, 1_000_000));
         }
         long withinQuota = instance.sendRequest(LoadBalancerFixture.IDEMPOTENT, 1, 1_000_000);
-        first.forEach(id -> instance.completeLastAttempt(id, AttemptResult.OK, 1_000));
+        inFlight.forEach(id -> instance.completeLastAttempt(id, AttemptResult.OK, 1_000));
         instance.completeLastAttempt(overQuota.get(0), AttemptResult.OK, 1_000);
         instance.completeLastAttempt(withinQuota, AttemptResult.OK, 1_000);
         assertEquals(
@@ -97,13 +98,14 @@
 
     @Test
     void requestsOverQuotaLeaveCapacityForThoseWithinIt() {
-        // Guards against one tenant that uses up the limits while others within their quotas are rejected.
+        // Guards against a tenant over its quota that uses up all capacity, so that tenants within theirs are rejected.
         LoadBalancerSettings settings = settingsWithQuotas();
         LoadBalancerFixture instance = new LoadBalancerFixture(settings, 3).withEndpoints(2);
         for (int i = 0; i < 40; i++) {
             instance.sendRequest(LoadBalancerFixture.IDEMPOTENT, 0, 1_000_000);
         }
-        // Two endpoints start with limits of four: half of that, and the one request within the quota.
+        // Two endpoints start with limits of four. Requests over the quota may use half of the sum; the first request,
+        // which is within the quota, may be one more.
         int attemptsOverQuota = instance.startedAttempts.size();
         assertTrue(attemptsOverQuota >= 4 && attemptsOverQuota <= 5, "attempts over quota: " + attemptsOverQuota);
         for (int i = 0; i < 3; i++) {
@@ -129,7 +131,8 @@
 
     @Test
     void requestsInFlightDoNotExceedTheSumOfAllLimits() {
-        // Guards against an overload of all endpoints by one request from each instance at every endpoint.
+        // Guards against overload of all endpoints at once, which occurs if every instance may send one request to
+        // every endpoint although all limits are below one.
         LoadBalancerSettings settings = LoadBalancerFixture.settings();
         settings.instances = 8;
         LoadBalancerFixture instance = new LoadBalancerFixture(settings, 3).withEndpoints(8);
@@ -140,7 +143,7 @@
     }
 
     @Test
-    void responsesFarSlowerThanTheirClassLowerALimitWhateverTheLatencyObjective() {
+    void responsesFarSlowerThanUsualLowerALimitEvenWithALongLatencyObjective() {
         LoadBalancerSettings settings = LoadBalancerFixture.settings();
         settings.classes.add(new RequestClass(
                 "long-objective",
@@ -157,40 +160,49 @@
         for (int i = 0; i < 80; i++) {
             instance.sendAndComplete(5, AttemptResult.OK, i < 40 ? 10_000 : 200_000);
         }
-        int before = instance.startedAttempts.size();
+        int attemptsBefore = instance.startedAttempts.size();
         for (int i = 0; i < 4; i++) {
             instance.sendRequest(5, 30_000_000);
         }
-        assertEquals(1, instance.startedAttempts.size() - before);
+        assertEquals(1, instance.startedAttempts.size() - attemptsBefore);
     }
 
-    /** Where endpoints take longer than the latency objective, a request may still be queued for a while. */
+    /**
+     * Guards against requests that are rejected at once where endpoints usually take longer than the latency objective:
+     * they may still be queued for a while.
+     */
     @ParameterizedTest
     @CsvSource({"50000, 80000", "250000, 30000"})
-    void queuedRequestsAreRejectedOnceTheirLatencyObjectiveIsOutOfReach(long usualLatencyUs, long staysQueuedUs) {
+    void queuedRequestsAreRejectedOnceTheirLatencyObjectiveIsOutOfReach(long usualLatencyUs, long queuedForUs) {
         LoadBalancerFixture instance = new LoadBalancerFixture().withEndpoints(1);
         for (int i = 0; i < 40; i++) {
             instance.sendAndComplete(LoadBalancerFixture.NON_IDEMPOTENT, AttemptResult.OK, usualLatencyUs);
         }
         instance.receiveEndpointList(EndpointListKind.FULL, List.of());
         long id = instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
-        instance.advance(staysQueuedUs);
+        instance.advance(queuedForUs);
         assertFalse(instance.rejected.contains(id));
         instance.advance(30_000);
         assertTrue(instance.rejected.contains(id));
     }
 
-    /** Guards against limits that grow by few timely responses while the overload lasts. */
+    /**
+     * Guards against limits that grow during an overload and so keep it up: while most responses are late, the few timely
+     * ones must not raise limits as usual.
+     */
     @Test
     void limitsGrowLessWhileResponsesAreLate() {
         long whileTimely = attemptsAtQuickEndpoint(0);
         long whileLate = attemptsAtQuickEndpoint(210_000);
         assertTrue(
                 whileLate < whileTimely * 2 / 3,
-                "in flight at the quick endpoint: " + whileLate + " and " + whileTimely);
+                "attempts at the quick endpoint: " + whileLate + " if late, " + whileTimely + " if timely");
     }
 
-    /** The attempts of a burst at the quick one of two endpoints after bursts in which the other one is later by this. */
+    /**
+     * Sends bursts of requests to two endpoints, of which s1 is quick and s0 responds later by the given delay. Returns
+     * how many attempts of a last burst go to s1.
+     */
     private static long attemptsAtQuickEndpoint(long delayUs) {
         LoadBalancerFixture instance = new LoadBalancerFixture().withEndpoints(2);
         for (int round = 0; round < 40; round++) {
@@ -205,11 +217,11 @@
             burst.forEach(id -> disconnectClient(instance, id));
             instance.advance(2_000_000);
         }
-        long before = instance.attemptCountAt("s1");
+        long attemptsBefore = instance.attemptCountAt("s1");
         for (int i = 0; i < 100; i++) {
             instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
         }
-        return instance.attemptCountAt("s1") - before;
+        return instance.attemptCountAt("s1") - attemptsBefore;
     }
 
     private static void disconnectClient(LoadBalancerFixture instance, long id) {
@@ -219,10 +231,11 @@
         }
     }
 
-    private static boolean completeOneAt(LoadBalancerFixture instance, List<Long> burst, String endpoint) {
+    /** Completes one request of the burst with a success at the endpoint; returns whether there was one. */
+    private static boolean completeOneAt(LoadBalancerFixture instance, List<Long> burst, String endpointId) {
         for (long id : burst) {
             if (instance.lastAttempt(id) != null
-                    && instance.lastAttempt(id).endpointId().equals(endpoint)) {
+                    && instance.lastAttempt(id).endpointId().equals(endpointId)) {
                 instance.completeLastAttempt(id, AttemptResult.OK, 0);
                 return burst.remove(id);
             }
--- a/src/test/java/loadbalancer/policy/AttemptRulesTest.java
+++ b/src/test/java/loadbalancer/policy/AttemptRulesTest.java
@@ -12,14 +12,20 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which attempts may be made and how a request ends, by idempotency, deadline and state of the endpoints. */
+/**
+ * Tests which attempts and which final response a request gets, depending on its idempotency, its deadline and the
+ * states of the endpoints.
+ */
 class AttemptRulesTest {
 
     private static EndpointListEntry endpoint(String id, int zone, int cell, EndpointState state) {
         return new EndpointListEntry(id, zone, cell, state, 1, 0);
     }
 
-    /** After a first attempt with this result either a retry follows or the request has failed. */
+    /**
+     * Takes the index of a request class of {@link LoadBalancerFixture}, the result of the first attempt, and whether a
+     * retry then follows or the request has failed.
+     */
     @ParameterizedTest
     @CsvSource({
         "0, ERROR, retried",
@@ -73,12 +79,12 @@
         assertTrue((first + second).matches("ab|ba|xy|yx"), first + second);
     }
 
-    /** A suspension of the process by 0.15 s must not delay the response beyond the deadline. */
+    /** Guards against a response after the deadline, which a suspension of the process by 0.15 s could cause. */
     @ParameterizedTest
     @ValueSource(longs = {1_000_000, 3_000_000})
-    void queuedRequestsAreRejectedInTimeForTheResponse(long remainingUs) {
+    void queuedRequestsAreRejectedInTimeForAResponseBeforeTheDeadline(long remainingUs) {
         LoadBalancerSettings settings = LoadBalancerFixture.settings();
-        // With some weight after its latency objective, a request stays queued for longer than that.
+        // Since a late response earns some priority weight, a request stays queued after its latency objective.
         settings.classes.set(
                 LoadBalancerFixture.NON_IDEMPOTENT,
                 new RequestClass(
@@ -99,7 +105,9 @@
             instance.advance(5_000);
         }
         long marginUs = deadlineAtUs - instance.nowUs;
-        assertTrue(marginUs >= Math.min(150_000, remainingUs / 8) - 10_000, marginUs + " us before its deadline");
+        assertTrue(
+                marginUs >= Math.min(150_000, remainingUs / 8) - 10_000,
+                "rejected " + marginUs + " us before the deadline");
         assertTrue(instance.nowUs < deadlineAtUs);
     }
 
--- a/src/test/java/loadbalancer/policy/DecisionModuleParts.java
+++ b/src/test/java/loadbalancer/policy/DecisionModuleParts.java
@@ -20,7 +20,7 @@
 import loadbalancer.policy.statistics.ServiceRate;
 import loadbalancer.policy.statistics.TimelyResponseRate;
 
-/** The parts of a decision module around the classes under test, wired as {@link ServiceQLoadBalancer} wires them. */
+/** The classes under test with the other parts of a decision module, connected as in {@link ServiceQLoadBalancer}. */
 final class DecisionModuleParts {
     static final long NOW_US = 10_000_000;
 
@@ -65,8 +65,8 @@
                 new UnresponsiveAttemptDetector(settings, latencies));
     }
 
-    /** Uses endpoints with these ids, in this order; the endpoints. */
-    Endpoint[] useEndpoints(String... ids) {
+    /** Creates endpoints with these ids, makes them the active ones in this order, and returns them. */
+    Endpoint[] activateEndpoints(String... ids) {
         Endpoint[] endpoints = new Endpoint[ids.length];
         for (int i = 0; i < ids.length; i++) {
             endpoints[i] = PolicyTestObjects.endpoint(settings, ids[i]);
@@ -79,7 +79,7 @@
         return PolicyTestObjects.request(settings, classIndex, NOW_US);
     }
 
-    /** Makes an endpoint fail until it is ejected. */
+    /** Reports failures of an endpoint until it is ejected. */
     void eject(Endpoint endpoint) {
         while (!endpoint.health().isEjected()) {
             outlierDetector.onFailure(endpoint, PolicyTestObjects.IDEMPOTENT, true, NOW_US);
--- a/src/test/java/loadbalancer/policy/EndpointRegistryTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointRegistryTest.java
@@ -15,7 +15,7 @@
 import loadbalancer.policy.model.Endpoint;
 import loadbalancer.policy.model.EndpointSharing;
 
-/** How {@link EndpointRegistry} follows endpoint lists and incarnations. */
+/** Tests how {@link EndpointRegistry} applies endpoint lists and detects new incarnations. */
 class EndpointRegistryTest implements OutlierDetector.Listener {
     private static final long NOW_US = 1_000_000;
 
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aFullListRemovesTheOthersAndKeepsWhatIsKnownOfItsOwn() {
+    void aFullListRemovesMissingEndpointsAndKeepsTheStateOfListedOnes() {
         update(EndpointListKind.FULL, ready("a"), ready("b"));
         Endpoint removed = registry.listed().get(0);
         Endpoint kept = registry.listed().get(1);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void removedEndpointsAreForgottenOnceNoAttemptIsInFlight() {
+    void removedEndpointsAreForgottenOnceTheyHaveNoAttemptInFlight() {
         update(EndpointListKind.FULL, ready("a"), ready("b"));
         Endpoint busy = registry.listed().get(0);
         busy.concurrency().increment();
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void aNewIncarnationForgetsErrorsAndLimit() {
+    void aNewIncarnationStartsWithoutErrorsEjectionAndLimit() {
         update(EndpointListKind.FULL, entry("a", EndpointState.READY, 500));
         Endpoint endpoint = registry.listed().get(0);
         endpoint.setErrorCount(3);
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void inTheFirstListsAStartCountsFromItsTimeButNotFromTheFuture() {
+    void warmingUpStartsAtTheListedStartTimeInTheFirstListsButNotInTheFuture() {
         update(
                 EndpointListKind.CACHED,
                 entry("past", EndpointState.READY, NOW_US - 300),
@@ -124,14 +124,14 @@
     }
 
     @Test
-    void aStartInALaterListCountsFromItsNotification() {
+    void warmingUpStartsAtTheNotificationInALaterList() {
         update(EndpointListKind.FULL, ready("a"));
         update(EndpointListKind.CHANGES, entry("a", EndpointState.READY, NOW_US - 300));
         assertEquals(NOW_US, registry.listed().get(0).warmingUpSinceUs());
     }
 
     @Test
-    void anEntryWithoutStartTimeIsNoNewIncarnation() {
+    void anEntryWithoutAStartTimeDoesNotBeginANewIncarnation() {
         update(EndpointListKind.FULL, entry("a", EndpointState.READY, 500));
         update(EndpointListKind.CHANGES, ready("a"));
         assertEquals(500, registry.listed().get(0).incarnationStartedAtUs());
--- a/src/test/java/loadbalancer/policy/EndpointSelectorTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointSelectorTest.java
@@ -10,12 +10,12 @@
 import loadbalancer.policy.model.Endpoint;
 import loadbalancer.policy.model.PendingRequest;
 
-/** At which endpoints {@link EndpointSelector} allows attempts, and when it selects one for probation. */
+/** Tests at which endpoints {@link EndpointSelector} allows attempts, and when it selects one for probation. */
 class EndpointSelectorTest {
     private static final long NOW_US = DecisionModuleParts.NOW_US;
 
     private final DecisionModuleParts parts = new DecisionModuleParts();
-    private final Endpoint[] endpoints = parts.useEndpoints("a", "b");
+    private final Endpoint[] endpoints = parts.activateEndpoints("a", "b");
     private final Endpoint endpoint = endpoints[0];
     private final PendingRequest request = parts.request(PolicyTestObjects.IDEMPOTENT);
 
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void noAttemptIsMadeAtAnEndpointEjectedForItsClass() {
+    void noAttemptIsMadeAtAnEndpointEjectedForTheClassOfTheRequest() {
         endpoint.healthOf(PolicyTestObjects.IDEMPOTENT).eject(1, 1);
         assertFalse(mayAttempt());
         assertTrue(parts.filter.mayAttemptAt(parts.request(PolicyTestObjects.NON_IDEMPOTENT), endpoint, NOW_US));
@@ -58,9 +58,9 @@
 
     @Test
     void noAttemptIsMadeOutsideTheDeduplicationScope() {
-        PendingRequest executed = parts.request(PolicyTestObjects.KEY_DEDUPLICATED_IN_CELL);
-        executed.startAttempt(PolicyTestObjects.endpoint(parts.settings, "c", 0, 1), NOW_US);
-        assertFalse(parts.filter.mayAttemptAt(executed, endpoint, NOW_US));
+        PendingRequest executedInOtherCell = parts.request(PolicyTestObjects.KEY_DEDUPLICATED_IN_CELL);
+        executedInOtherCell.startAttempt(PolicyTestObjects.endpoint(parts.settings, "c", 0, 1), NOW_US);
+        assertFalse(parts.filter.mayAttemptAt(executedInOtherCell, endpoint, NOW_US));
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/LoadBalancerFixture.java
+++ b/src/test/java/loadbalancer/policy/LoadBalancerFixture.java
@@ -7,25 +7,25 @@
 import loadbalancer.policy.log.EndpointRestored;
 import loadbalancer.policy.log.PolicyEvent;
 
-/** An instance for tests: the decision module with a clock and its timers, and a record of the actions that it takes. */
+/** A decision module for tests, with a simulated clock and timers, that records the actions that the module takes. */
 final class LoadBalancerFixture implements LoadBalancerActions {
     /** Index of the class of idempotent requests. */
     public static final int IDEMPOTENT = 0;
 
-    /** Index of the class with idempotency keys that all endpoints deduplicate together. */
+    /** Index of the class whose idempotency keys all endpoints deduplicate together. */
     public static final int KEY_DEDUPLICATED_EVERYWHERE = 1;
 
-    /** Index of the class with idempotency keys that the endpoints of a zone deduplicate together. */
+    /** Index of the class whose idempotency keys the endpoints of a zone deduplicate together. */
     public static final int KEY_DEDUPLICATED_IN_ZONE = 2;
 
-    /** Index of the class with idempotency keys that the endpoints of a cell deduplicate together. */
+    /** Index of the class whose idempotency keys the endpoints of a cell deduplicate together. */
     public static final int KEY_DEDUPLICATED_IN_CELL = 3;
 
     /** Index of the class of requests that must not be executed twice. */
     public static final int NON_IDEMPOTENT = 4;
 
     private static final long DEFAULT_SEED = 7;
-    private static final long DEFAULT_TIMEOUT_US = 1_000_000;
+    private static final long DEFAULT_REMAINING_US = 1_000_000;
 
     /** An attempt that the module has started. */
     public record StartedAttempt(long startedAtUs, long requestId, int number, String endpointId, long deadlineUs) {}
@@ -52,11 +52,14 @@
         this(settings(), DEFAULT_SEED);
     }
 
-    /** Two zones, the classes that the constants name, one tenant without quota, hedging and cancellation. */
+    /**
+     * Returns settings with two zones, the classes that the constants name, one tenant without a quota, and hedging and
+     * cancellation enabled.
+     */
     public static LoadBalancerSettings settings() {
         LoadBalancerSettings settings = new LoadBalancerSettings();
-        settings.zones.add("here");
-        settings.zones.add("there");
+        settings.zones.add("local");
+        settings.zones.add("remote");
         settings.classes.add(requestClass("idempotent", Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
         settings.classes.add(
                 requestClass("key-deduplicated-everywhere", Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.ALL));
@@ -76,12 +79,12 @@
         return new RequestClass(name, 200_000, 0, 1_000_000, 1, 0, idempotency, scope, 400_000, false);
     }
 
-    /** A list entry of an endpoint that has been ready for long, in the local zone. */
+    /** Returns a list entry of an endpoint in the local zone that is ready and not warming up. */
     public static EndpointListEntry readyEndpoint(String id) {
         return new EndpointListEntry(id, 0, 0, EndpointState.READY, 1, 0);
     }
 
-    /** Receives the first list: endpoints s0, s1, ... that have been ready for long, in one zone and cell. */
+    /** Reports a cached list of endpoints s0, s1, ... in one zone and cell that are ready and not warming up. */
     public LoadBalancerFixture withEndpoints(int count) {
         List<EndpointListEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -90,37 +93,37 @@
         return receiveEndpointList(EndpointListKind.CACHED, entries);
     }
 
-    /** Passes an endpoint list event to the module. */
+    /** Reports an endpoint list or changes of it to the module. */
     public LoadBalancerFixture receiveEndpointList(EndpointListKind kind, List<EndpointListEntry> entries) {
         loadBalancer.onEndpointList(nowUs, kind, entries);
         return this;
     }
 
-    /** A request of the only tenant with a second left; its id. */
+    /** Sends a request of the first tenant that has one second left, and returns its id. */
     public long sendRequest(int classIndex) {
-        return sendRequest(classIndex, DEFAULT_TIMEOUT_US);
+        return sendRequest(classIndex, DEFAULT_REMAINING_US);
     }
 
-    /** A request of the only tenant; its id. */
+    /** Sends a request of the first tenant and returns its id. */
     public long sendRequest(int classIndex, long remainingUs) {
         return sendRequest(classIndex, 0, remainingUs);
     }
 
-    /** A request without key; its id. */
+    /** Sends a request without a key and returns its id. */
     public long sendRequest(int classIndex, int tenant, long remainingUs) {
         long id = nextId++;
         loadBalancer.onRequest(nowUs, new Request(id, classIndex, tenant, remainingUs, 0, false, null));
         return id;
     }
 
-    /** A request with a key for key affinity, with a second left; its id. */
+    /** Sends a request with a key for key affinity that has one second left, and returns its id. */
     public long sendRequestWithKey(String key, int classIndex) {
         long id = nextId++;
-        loadBalancer.onRequest(nowUs, new Request(id, classIndex, 0, DEFAULT_TIMEOUT_US, 0, false, key));
+        loadBalancer.onRequest(nowUs, new Request(id, classIndex, 0, DEFAULT_REMAINING_US, 0, false, key));
         return id;
     }
 
-    /** The newest attempt of a request, or null. */
+    /** Returns the newest attempt of a request, or null if there is none. */
     public StartedAttempt lastAttempt(long requestId) {
         for (int i = startedAttempts.size() - 1; i >= 0; i--) {
             if (startedAttempts.get(i).requestId == requestId) {
@@ -130,21 +133,21 @@
         return null;
     }
 
-    /** How many attempts of a request have been started. */
+    /** Returns how many attempts of a request have been started. */
     public int attemptCount(long requestId) {
         return (int) startedAttempts.stream()
                 .filter(attempt -> attempt.requestId == requestId)
                 .count();
     }
 
-    /** How many attempts have been started at an endpoint. */
+    /** Returns how many attempts have been started at an endpoint. */
     public long attemptCountAt(String endpointId) {
         return startedAttempts.stream()
                 .filter(attempt -> attempt.endpointId.equals(endpointId))
                 .count();
     }
 
-    /** Ends a request's newest attempt after some time; a success ends the request. */
+    /** Advances the clock, then ends the newest attempt of a request; a success also ends the request. */
     public void completeLastAttempt(long requestId, AttemptResult result, long afterUs) {
         advance(afterUs);
         StartedAttempt attempt = lastAttempt(requestId);
@@ -159,7 +162,7 @@
                         null));
     }
 
-    /** Sends a request and ends its first attempt after some time; the endpoint of the attempt. */
+    /** Sends a request, ends its first attempt after some time, and returns the id of that endpoint. */
     public String sendAndComplete(int classIndex, AttemptResult result, long afterUs) {
         long id = sendRequest(classIndex);
         String endpointId = lastAttempt(id).endpointId;
@@ -167,7 +170,7 @@
         return endpointId;
     }
 
-    /** Moves the clock on and fires the timers that come due. */
+    /** Advances the clock and fires the timers that come due. */
     public void advance(long durationUs) {
         long untilUs = nowUs + durationUs;
         while (true) {
@@ -188,8 +191,8 @@
     }
 
     @Override
-    public void cancelAttempt(long requestId, int attempt) {
-        cancelled.add(requestId + "/" + attempt);
+    public void cancelAttempt(long requestId, int attemptNumber) {
+        cancelled.add(requestId + "/" + attemptNumber);
     }
 
     @Override
@@ -222,14 +225,14 @@
         events.add(event);
     }
 
-    /** Whether an endpoint was ejected, for all classes or for one. */
+    /** Returns whether an endpoint was ever ejected, for all classes or for one. */
     boolean hasEjected(String endpointId) {
         return events.stream()
                 .anyMatch(event -> event instanceof EndpointEjected ejected
                         && ejected.endpointId().equals(endpointId));
     }
 
-    /** Whether an endpoint was restored, for all classes or for one. */
+    /** Returns whether an endpoint was ever restored, for all classes or for one. */
     boolean hasRestored(String endpointId) {
         return events.stream()
                 .anyMatch(event -> event instanceof EndpointRestored restored
--- a/src/test/java/loadbalancer/policy/ReadmeExampleTest.java
+++ b/src/test/java/loadbalancer/policy/MinimalUsageTest.java
@@ -9,21 +9,21 @@
 
 import loadbalancer.policy.log.PolicyEvent;
 
-/** The README's example, compiled and run. */
-class ReadmeExampleTest {
+/** Tests a minimal use of the decision module: one endpoint and one request whose first attempt succeeds. */
+class MinimalUsageTest {
 
-    /** A proxy's side of the interface: here it only records the actions. */
+    /** A caller of the decision module that only records the actions. */
     static final class Proxy implements LoadBalancerActions {
         final List<String> actions = new ArrayList<>();
 
         @Override
-        public void startAttempt(long requestId, String endpointId, long untilUs) {
+        public void startAttempt(long requestId, String endpointId, long deadlineUs) {
             actions.add("send " + requestId + " to " + endpointId);
         }
 
         @Override
-        public void cancelAttempt(long requestId, int attempt) {
-            actions.add("cancel " + requestId + "/" + attempt);
+        public void cancelAttempt(long requestId, int attemptNumber) {
+            actions.add("cancel " + requestId + "/" + attemptNumber);
         }
 
         @Override
@@ -55,16 +55,16 @@
         settings.classes.add(new RequestClass(
                 "page", 200_000, 0, 1_000_000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false));
         Proxy proxy = new Proxy();
-        LoadBalancer balancer = new ServiceQLoadBalancer(settings, 42, proxy);
-        long now = 0;
-        balancer.onEndpointList(
-                now,
+        LoadBalancer loadBalancer = new ServiceQLoadBalancer(settings, 42, proxy);
+        long nowUs = 0;
+        loadBalancer.onEndpointList(
+                nowUs,
                 EndpointListKind.CACHED,
                 List.of(new EndpointListEntry("10.0.0.1:80", 0, 0, EndpointState.READY, 1, 0)));
-        balancer.onRequest(now, new Request(1, 0, -1, 1_000_000, 0, false, null));
+        loadBalancer.onRequest(nowUs, new Request(1, 0, -1, 1_000_000, 0, false, null));
         assertEquals(List.of("send 1 to 10.0.0.1:80"), proxy.actions);
-        now += 20_000;
-        balancer.onAttemptOutcome(now, new AttemptOutcome(1, 0, AttemptResult.OK, 20_000, true, null));
+        nowUs += 20_000;
+        loadBalancer.onAttemptOutcome(nowUs, new AttemptOutcome(1, 0, AttemptResult.OK, 20_000, true, null));
         assertEquals(1, proxy.actions.size());
     }
 }
--- a/src/test/java/loadbalancer/policy/PolicyTestObjects.java
+++ b/src/test/java/loadbalancer/policy/PolicyTestObjects.java
@@ -3,33 +3,33 @@
 import loadbalancer.policy.model.Endpoint;
 import loadbalancer.policy.model.PendingRequest;
 
-/** Settings, requests and endpoints for unit tests of the decision module's classes. */
+/** Creates settings, requests and endpoints for unit tests of the decision module's classes. */
 public final class PolicyTestObjects {
-    /** Index of the class of idempotent requests: objective 200 ms, deadline 1 s, priority weight 1. */
+    /** Index of the class of idempotent requests, with objective 200 ms, deadline 1 s and priority weight 1. */
     public static final int IDEMPOTENT = LoadBalancerFixture.IDEMPOTENT;
 
-    /** The same with idempotency keys that all endpoints deduplicate together for 400 ms. */
+    /** Index of a similar class whose idempotency keys all endpoints deduplicate together for 400 ms. */
     public static final int KEY_DEDUPLICATED_EVERYWHERE = LoadBalancerFixture.KEY_DEDUPLICATED_EVERYWHERE;
 
-    /** The same with idempotency keys that the endpoints of a zone deduplicate together for 400 ms. */
+    /** Index of a similar class whose idempotency keys the endpoints of a zone deduplicate together for 400 ms. */
     public static final int KEY_DEDUPLICATED_IN_ZONE = LoadBalancerFixture.KEY_DEDUPLICATED_IN_ZONE;
 
-    /** The same with idempotency keys that the endpoints of a cell deduplicate together for 400 ms. */
+    /** Index of a similar class whose idempotency keys the endpoints of a cell deduplicate together for 400 ms. */
     public static final int KEY_DEDUPLICATED_IN_CELL = LoadBalancerFixture.KEY_DEDUPLICATED_IN_CELL;
 
-    /** The same for requests that must not be executed twice. */
+    /** Index of a similar class of requests that must not be executed twice. */
     public static final int NON_IDEMPOTENT = LoadBalancerFixture.NON_IDEMPOTENT;
 
     private static long nextRequestId = 1;
 
     private PolicyTestObjects() {}
 
-    /** Two zones, the classes that the constants name, and one tenant without quota. */
+    /** Returns settings with two zones, the classes that the constants name, and one tenant without a quota. */
     public static LoadBalancerSettings settings() {
         return LoadBalancerFixture.settings();
     }
 
-    /** Replaces a class by one that is like it but for the part of the weight that late responses earn. */
+    /** Replaces a class by one that differs only in the factor of the priority weight that a late response earns. */
     public static void setLatePriorityWeight(LoadBalancerSettings settings, int classIndex, double weight) {
         RequestClass before = settings.classes.get(classIndex);
         settings.classes.set(
@@ -47,30 +47,30 @@
                         before.streaming()));
     }
 
-    /** A request of the only tenant, without key, with a second left. */
+    /** Returns a request of the only tenant that has no key and one second left. */
     public static PendingRequest request(LoadBalancerSettings settings, int classIndex, long nowUs) {
         return request(settings, classIndex, null, nowUs);
     }
 
-    /** A request of the only tenant with a second left; the key may be null. */
+    /** Returns a request of the only tenant that has one second left; the key may be null. */
     public static PendingRequest request(LoadBalancerSettings settings, int classIndex, String key, long nowUs) {
         return new PendingRequest(
                 new Request(nextRequestId++, classIndex, 0, 1_000_000, 0, false, key), settings, nowUs);
     }
 
-    /** A ready endpoint in the first zone and cell that is not active yet. */
+    /** Returns a ready endpoint in the first zone and cell that is not active yet. */
     public static Endpoint endpoint(LoadBalancerSettings settings, String id) {
         return endpoint(settings, id, 0, 0);
     }
 
-    /** A ready endpoint that is not active yet. */
+    /** Returns a ready endpoint that is not active yet. */
     public static Endpoint endpoint(LoadBalancerSettings settings, String id, int zone, int cell) {
         Endpoint endpoint = new Endpoint(id, settings.classes.size());
         endpoint.update(new EndpointListEntry(id, zone, cell, EndpointState.READY, 1, 0));
         return endpoint;
     }
 
-    /** Active endpoints e0, e1, ... in the first zone and cell. */
+    /** Returns active endpoints e0, e1, ... in the first zone and cell. */
     public static Endpoint[] activeEndpoints(LoadBalancerSettings settings, int count) {
         Endpoint[] endpoints = new Endpoint[count];
         for (int i = 0; i < count; i++) {
--- a/src/test/java/loadbalancer/policy/RandomEventsTest.java
+++ b/src/test/java/loadbalancer/policy/RandomEventsTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import loadbalancer.policy.RuleCheckingCaller.WarmingAttempt;
+import loadbalancer.policy.RuleCheckingCaller.WarmUpAttempt;
 
-/** Long sequences of random events with fixed seeds; the actions of the module are checked against all rules. */
+/** Sends the module long sequences of random events with fixed seeds and checks its actions against all rules. */
 class RandomEventsTest {
-    /** Attempts in an overload window that may be chance. */
-    private static final int CHANCE_ATTEMPTS = 2;
+    /** Number of attempts in an overload window that are allowed above the budget, as chance. */
+    private static final int MAX_CHANCE_ATTEMPTS = 2;
 
-    /** Ready endpoints that capacity is counted for at most, since many are always removed. */
+    /** Maximum number of ready endpoints that the capacity is divided by, since many endpoints are always removed. */
     private static final long MAX_READY_ENDPOINTS = 3;
 
     @ParameterizedTest
@@ -23,35 +23,37 @@
     void allRulesHoldOverRandomEvents(long seed) {
         RuleCheckingCaller caller = new RuleCheckingCaller(seed);
         caller.run(1_500);
-        assertEquals(caller.requestCount(), caller.finished(), "every request has one final response");
-        assertTrue(caller.served() > 100, "requests served: " + caller.served());
-        caller.warmingAttempts().forEach((entry, attempts) -> {
-            for (WarmingAttempt first : attempts) {
+        assertEquals(caller.requestCount(), caller.finishedCount(), "requests that have ended");
+        assertTrue(caller.servedCount() > 100, "requests served: " + caller.servedCount());
+        caller.warmUpAttempts().forEach((entry, attempts) -> {
+            for (WarmUpAttempt first : attempts) {
                 assertWithinSlowStartBudget(caller, entry, attempts, first.startedAtUs());
             }
         });
     }
 
     /**
-     * In any overload window the instance stays within its share of what a warming endpoint may be sent. What it serves,
-     * divided by the endpoints then ready, is its share of the capacity of an endpoint that is not warming up.
+     * Asserts that, in the overload window that starts at {@code fromUs}, the instance sends a warming-up endpoint no
+     * more than its share of the load that makes the endpoint fail. The instance's share of the capacity of an endpoint
+     * that is not warming up is taken to be the rate of its served requests, divided by the number of ready endpoints.
      */
     private static void assertWithinSlowStartBudget(
-            RuleCheckingCaller caller, EndpointListEntry entry, List<WarmingAttempt> attempts, long fromUs) {
+            RuleCheckingCaller caller, EndpointListEntry entry, List<WarmUpAttempt> attempts, long fromUs) {
         LoadBalancerSettings settings = caller.settings();
         long untilUs = fromUs + settings.overloadWindowUs;
-        List<WarmingAttempt> window = attempts.stream()
+        List<WarmUpAttempt> window = attempts.stream()
                 .filter(attempt -> attempt.startedAtUs() >= fromUs && attempt.startedAtUs() < untilUs)
                 .toList();
-        long leastReady =
-                window.stream().mapToLong(WarmingAttempt::readyEndpoints).min().getAsLong();
-        double ready = (double) Math.min(MAX_READY_ENDPOINTS, leastReady);
+        long minReady =
+                window.stream().mapToLong(WarmUpAttempt::readyEndpoints).min().getAsLong();
+        double ready = (double) Math.min(MAX_READY_ENDPOINTS, minReady);
         double progress = Math.min(1, (untilUs - entry.startedAtUs()) / (double) settings.slowStartUs);
         double share = settings.initialCapacityShare + (1 - settings.initialCapacityShare) * progress;
         double capacity = share * caller.servedPerSecond() / ready;
         assertTrue(
-                window.size() - CHANCE_ATTEMPTS <= settings.overloadFactor * capacity * settings.overloadWindowUs / 1e6,
-                window.size() + " attempts in one overload window");
+                window.size() - MAX_CHANCE_ATTEMPTS
+                        <= settings.overloadFactor * capacity * settings.overloadWindowUs / 1e6,
+                window.size() + " attempts in one overload window at endpoint " + entry.id());
     }
 
     @ParameterizedTest
--- a/src/test/java/loadbalancer/policy/RandomSettings.java
+++ b/src/test/java/loadbalancer/policy/RandomSettings.java
@@ -2,11 +2,11 @@
 
 import java.util.SplittableRandom;
 
-/** Random settings of an instance. */
+/** Generates random settings. */
 final class RandomSettings {
     private RandomSettings() {}
 
-    /** The fixture's settings, of which all that the rules depend on are random. */
+    /** Returns the settings of {@link LoadBalancerFixture} with random values where the rules depend on them. */
     static LoadBalancerSettings draw(SplittableRandom random) {
         LoadBalancerSettings settings = LoadBalancerFixture.settings();
         settings.classes.replaceAll(requestClass -> new RequestClass(
--- a/src/test/java/loadbalancer/policy/RecordingActions.java
+++ b/src/test/java/loadbalancer/policy/RecordingActions.java
@@ -5,7 +5,7 @@
 
 import loadbalancer.policy.log.PolicyEvent;
 
-/** Records the actions of a class under test. */
+/** Records the actions that a class under test requests. */
 public final class RecordingActions implements LoadBalancerActions {
     public final List<String> startedAttempts = new ArrayList<>();
     public final List<String> cancelledAttempts = new ArrayList<>();
@@ -22,8 +22,8 @@
     }
 
     @Override
-    public void cancelAttempt(long requestId, int attempt) {
-        cancelledAttempts.add(requestId + "/" + attempt);
+    public void cancelAttempt(long requestId, int attemptNumber) {
+        cancelledAttempts.add(requestId + "/" + attemptNumber);
     }
 
     @Override
--- a/src/test/java/loadbalancer/policy/RuleCheckingCaller.java
+++ b/src/test/java/loadbalancer/policy/RuleCheckingCaller.java
@@ -13,7 +13,7 @@
 
 import loadbalancer.policy.log.PolicyEvent;
 
-/** A caller of the decision module that generates random events, and fails the test on the first broken rule. */
+/** A caller of the decision module that reports random events and fails the test at the first violation of a rule. */
 final class RuleCheckingCaller implements LoadBalancerActions {
     private static final long START_US = 5_000_000;
     private static final EndpointState[] STATES = {
@@ -32,20 +32,21 @@
     private final LoadBalancer loadBalancer;
     private final Map<Long, TrackedRequest> requests = new LinkedHashMap<>();
     private final Map<String, EndpointListEntry> endpoints = new LinkedHashMap<>();
-    private final Map<EndpointListEntry, List<WarmingAttempt>> warmingAttempts = new LinkedHashMap<>();
-    private final PriorityQueue<DueOutcome> outcomes = new PriorityQueue<>(Comparator.comparingLong(DueOutcome::atUs));
+    private final Map<EndpointListEntry, List<WarmUpAttempt>> warmUpAttempts = new LinkedHashMap<>();
+    private final PriorityQueue<DueOutcome> dueOutcomes =
+            new PriorityQueue<>(Comparator.comparingLong(DueOutcome::atUs));
     private final PriorityQueue<Long> timers = new PriorityQueue<>();
     private final StringBuilder trace = new StringBuilder();
     private long nowUs = START_US;
     private long nextId = 1;
-    private long served;
-    private int finished;
+    private long servedCount;
+    private int finishedCount;
 
-    /** An attempt at an endpoint that is warming up, and how many endpoints are ready then. */
-    record WarmingAttempt(long startedAtUs, long readyEndpoints) {}
+    /** An attempt at an endpoint that is warming up, with the number of endpoints that are ready at its start. */
+    record WarmUpAttempt(long startedAtUs, long readyEndpoints) {}
 
-    /** How and when an attempt will end. */
-    private record DueOutcome(long atUs, long requestId, int attempt, AttemptResult result) {}
+    /** The result of an attempt in flight and the time at which the attempt will end. */
+    private record DueOutcome(long atUs, long requestId, int attemptNumber, AttemptResult result) {}
 
     RuleCheckingCaller(long seed) {
         random = new SplittableRandom(seed);
@@ -61,59 +62,59 @@
         return requests.size();
     }
 
-    /** Requests that have a final response or whose client has disconnected. */
-    int finished() {
-        return finished;
+    /** Returns the number of requests that have a final response or whose client has disconnected. */
+    int finishedCount() {
+        return finishedCount;
     }
 
-    /** Requests that were served. */
-    long served() {
-        return served;
+    /** Returns the number of requests that were served. */
+    long servedCount() {
+        return servedCount;
     }
 
-    /** Requests served a second. */
+    /** Returns the number of requests served per second. */
     double servedPerSecond() {
-        return served / ((nowUs - START_US) / 1e6);
+        return servedCount / ((nowUs - START_US) / 1e6);
     }
 
-    /** The attempts during slow start, by list entry and so by incarnation. */
-    Map<EndpointListEntry, List<WarmingAttempt>> warmingAttempts() {
-        return warmingAttempts;
+    /** Returns the attempts at endpoints that are warming up, by list entry and thus by incarnation. */
+    Map<EndpointListEntry, List<WarmUpAttempt>> warmUpAttempts() {
+        return warmUpAttempts;
     }
 
-    /** All actions as text. */
+    /** Returns all actions as text. */
     String trace() {
         return trace.toString();
     }
 
-    /** Runs until so many random events have happened and all requests and attempts have ended. */
-    void run(int events) {
+    /** Reports this number of random events, and runs until all requests and attempts have ended. */
+    void run(int eventCount) {
         loadBalancer.onEndpointList(nowUs, EndpointListKind.CACHED, List.of());
         for (int i = 0; i < 5; i++) {
             changeEndpointList();
         }
         long nextEventUs = nowUs;
-        int done = 0;
-        while (done < events || !outcomes.isEmpty() || hasUnfinishedRequests()) {
-            long atUs = Math.min(done < events ? nextEventUs : Long.MAX_VALUE, nextOutcomeOrTimerUs());
-            assertTrue(atUs < Long.MAX_VALUE, "a timer is set while requests are pending");
+        int reportedEvents = 0;
+        while (reportedEvents < eventCount || !dueOutcomes.isEmpty() || hasUnfinishedRequests()) {
+            long atUs = Math.min(reportedEvents < eventCount ? nextEventUs : Long.MAX_VALUE, nextOutcomeOrTimerUs());
+            assertTrue(atUs < Long.MAX_VALUE, "no timer is set although requests are pending");
             nowUs = Math.max(nowUs, atUs);
-            if (!outcomes.isEmpty() && outcomes.peek().atUs <= nowUs) {
-                endAttempt(outcomes.poll());
+            if (!dueOutcomes.isEmpty() && dueOutcomes.peek().atUs <= nowUs) {
+                endAttempt(dueOutcomes.poll());
             } else if (!timers.isEmpty() && timers.peek() <= nowUs) {
                 timers.poll();
                 loadBalancer.onTimer(nowUs);
             } else {
-                done++;
+                reportedEvents++;
                 nextEventUs = nowUs + random.nextInt(30_000);
-                generateEvent();
+                reportRandomEvent();
             }
         }
     }
 
     private long nextOutcomeOrTimerUs() {
         return Math.min(
-                outcomes.isEmpty() ? Long.MAX_VALUE : outcomes.peek().atUs,
+                dueOutcomes.isEmpty() ? Long.MAX_VALUE : dueOutcomes.peek().atUs,
                 timers.isEmpty() ? Long.MAX_VALUE : timers.peek());
     }
 
@@ -121,13 +122,13 @@
         return requests.values().stream().anyMatch(request -> !request.isFinished());
     }
 
-    private void generateEvent() {
-        int percentile = random.nextInt(100);
-        if (percentile < 2) {
+    private void reportRandomEvent() {
+        int percent = random.nextInt(100);
+        if (percent < 2) {
             changeEndpointList();
-        } else if (percentile < 3) {
+        } else if (percent < 3) {
             loadBalancer.onEndpointListFailed(nowUs);
-        } else if (percentile < 5 && nextId > 1) {
+        } else if (percent < 5 && nextId > 1) {
             disconnectClient(1 + random.nextLong(nextId - 1));
         } else {
             sendRequest();
@@ -155,7 +156,7 @@
         TrackedRequest request = requests.get(id);
         if (!request.isFinished()) {
             request.finish();
-            finished++;
+            finishedCount++;
         }
         loadBalancer.onClientDisconnected(nowUs, id);
     }
@@ -187,18 +188,18 @@
 
     private void endAttempt(DueOutcome due) {
         TrackedRequest request = requests.get(due.requestId);
-        TrackedRequest.TrackedAttempt attempt = request.attempt(due.attempt);
+        TrackedRequest.TrackedAttempt attempt = request.attempt(due.attemptNumber);
         attempt.end(due.result);
         if (due.result == AttemptResult.OK && !request.isFinished()) {
             request.finish();
-            finished++;
-            served++;
+            finishedCount++;
+            servedCount++;
         }
         loadBalancer.onAttemptOutcome(
                 nowUs,
                 new AttemptOutcome(
                         due.requestId,
-                        due.attempt,
+                        due.attemptNumber,
                         due.result,
                         nowUs - attempt.startedAtUs(),
                         request.isFinished(),
@@ -210,14 +211,14 @@
         appendToTrace("start " + requestId + " at " + endpointId);
         TrackedRequest request = requests.get(requestId);
         EndpointListEntry endpoint = endpoints.get(endpointId);
-        assertNotNull(request, "attempts belong to pending requests");
+        assertNotNull(request, "attempt of unknown request " + requestId);
         request.startAttempt(endpoint, settings, deadlineUs, nowUs);
         if (endpoint.startedAtUs() > 0 && nowUs < endpoint.startedAtUs() + settings.slowStartUs) {
-            warmingAttempts
+            warmUpAttempts
                     .computeIfAbsent(endpoint, unused -> new ArrayList<>())
-                    .add(new WarmingAttempt(nowUs, readyEndpoints()));
+                    .add(new WarmUpAttempt(nowUs, readyEndpoints()));
         }
-        outcomes.add(drawOutcome(requestId, request.attemptCount() - 1, deadlineUs));
+        dueOutcomes.add(drawOutcome(requestId, request.attemptCount() - 1, deadlineUs));
     }
 
     private long readyEndpoints() {
@@ -226,11 +227,11 @@
                 .count();
     }
 
-    private DueOutcome drawOutcome(long requestId, int attempt, long deadlineUs) {
+    private DueOutcome drawOutcome(long requestId, int attemptNumber, long deadlineUs) {
         boolean timesOut = random.nextInt(30) == 0;
         long atUs = timesOut ? deadlineUs : Math.min(deadlineUs, nowUs + 1_000 + random.nextInt(120_000));
         AttemptResult result = timesOut || atUs == deadlineUs ? AttemptResult.TIMEOUT : drawResult();
-        return new DueOutcome(atUs, requestId, attempt, result);
+        return new DueOutcome(atUs, requestId, attemptNumber, result);
     }
 
     private AttemptResult drawResult() {
@@ -250,23 +251,23 @@
     private void finishWithoutSuccess(long requestId, boolean rejected) {
         appendToTrace((rejected ? "reject " : "fail ") + requestId);
         TrackedRequest request = requests.get(requestId);
-        assertNotNull(request);
+        assertNotNull(request, "final response to unknown request " + requestId);
         request.finishWithoutSuccess(rejected, settings, nowUs);
-        finished++;
+        finishedCount++;
     }
 
     @Override
-    public void cancelAttempt(long requestId, int attempt) {
-        assertTrue(settings.cancellationEnabled, "attempts are cancelled only where the settings allow it");
-        if (requests.get(requestId).attempt(attempt).isInFlight()) {
-            outcomes.removeIf(due -> due.requestId == requestId && due.attempt == attempt);
-            outcomes.add(new DueOutcome(nowUs, requestId, attempt, AttemptResult.CANCELLED));
+    public void cancelAttempt(long requestId, int attemptNumber) {
+        assertTrue(settings.cancellationEnabled, "attempt cancelled although the settings do not allow it");
+        if (requests.get(requestId).attempt(attemptNumber).isInFlight()) {
+            dueOutcomes.removeIf(due -> due.requestId == requestId && due.attemptNumber == attemptNumber);
+            dueOutcomes.add(new DueOutcome(nowUs, requestId, attemptNumber, AttemptResult.CANCELLED));
         }
     }
 
     @Override
     public void setTimer(long atUs) {
-        assertTrue(atUs > nowUs, "a timer is in the future");
+        assertTrue(atUs > nowUs, "timer set to " + atUs + ", which is not after the current time " + nowUs);
         timers.add(atUs);
     }
 
@@ -275,7 +276,7 @@
 
     @Override
     public void watchEndpointList() {
-        assertTrue(settings.endpointListPolled, "a pushed list is not polled");
+        assertTrue(settings.endpointListPolled, "endpoint list polled although the settings say that it is pushed");
     }
 
     @Override
--- a/src/test/java/loadbalancer/policy/ServiceQMechanismTest.java
+++ b/src/test/java/loadbalancer/policy/ServiceQMechanismTest.java
@@ -11,7 +11,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The ServiceQ mechanism: weighted picks, requests in flight, error counts, retries and queueing. */
+/** Tests the ServiceQ mechanism: weighted picks, requests in flight, error counts, retries and queueing. */
 class ServiceQMechanismTest {
 
     @Test
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void withoutErrorsTiesAreSpreadEvenly() {
+    void withoutErrorsEndpointsWithEqualRequestsInFlightGetEqualShares() {
         LoadBalancerFixture instance = new LoadBalancerFixture().withEndpoints(4);
         Map<String, Integer> attemptsByEndpoint = new HashMap<>();
         for (int i = 0; i < 4_000; i++) {
@@ -47,7 +47,7 @@
         instance.completeLastAttempt(id, AttemptResult.ERROR, 1_000);
         long pending = instance.sendRequest(LoadBalancerFixture.IDEMPOTENT);
         String other = instance.lastAttempt(pending).endpointId();
-        // With one error the two picks are still both endpoints.
+        // With one error, the two picks are still the two endpoints.
         String lessLoaded = other.equals("s0") ? "s1" : "s0";
         assertEquals(
                 lessLoaded,
@@ -61,9 +61,9 @@
         LoadBalancerFixture instance = new LoadBalancerFixture().withEndpoints(5);
         long id = instance.sendRequest(LoadBalancerFixture.IDEMPOTENT);
         for (int i = 0; i < 3; i++) {
-            int from = Integer.parseInt(instance.lastAttempt(id).endpointId().substring(1));
+            int failedNumber = Integer.parseInt(instance.lastAttempt(id).endpointId().substring(1));
             instance.completeLastAttempt(id, AttemptResult.ERROR, 1_000);
-            assertEquals("s" + (from + 1) % 5, instance.lastAttempt(id).endpointId());
+            assertEquals("s" + (failedNumber + 1) % 5, instance.lastAttempt(id).endpointId());
         }
         instance.completeLastAttempt(id, AttemptResult.ERROR, 1_000);
         assertEquals(4, instance.attemptCount(id));
--- a/src/test/java/loadbalancer/policy/TimerScheduleTest.java
+++ b/src/test/java/loadbalancer/policy/TimerScheduleTest.java
@@ -8,7 +8,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When {@link TimerSchedule} sets the timer, and how it detects a suspension. */
+/** Tests when {@link TimerSchedule} sets the timer, and how it detects a suspension of the process. */
 class TimerScheduleTest {
     private final RecordingActions actions = new RecordingActions();
     private final TimerSchedule timer = new TimerSchedule(actions);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void afterItHasFiredAnotherTimerMayBeSet() {
+    void aLaterTimerIsSetOnceThePendingOneHasFired() {
         timer.schedule(5_000, 0);
         timer.onFired(5_000);
         timer.schedule(9_000, 5_000);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aReplacedTimerThatFiresEarlyLeavesThePendingOne() {
+    void aTimerThatFiresBeforeThePendingOneIsDueLeavesItPending() {
         timer.schedule(5_000, 0);
         timer.onFired(4_000);
         timer.schedule(6_000, 4_000);
--- a/src/test/java/loadbalancer/policy/TrackedRequest.java
+++ b/src/test/java/loadbalancer/policy/TrackedRequest.java
@@ -6,14 +6,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request as its caller knows it, with the rules that its attempts and its final response have to keep. */
+/** A request as the caller of the module knows it; checks the rules for its attempts and its final response. */
 final class TrackedRequest {
     private final RequestClass requestClass;
     private final long deadlineAtUs;
     private final List<TrackedAttempt> attempts = new ArrayList<>();
     private boolean finished;
 
-    /** An attempt as the caller knows it. */
+    /** An attempt as the caller of the module knows it. */
     static final class TrackedAttempt {
         private final EndpointListEntry endpoint;
         private final long startedAtUs;
@@ -62,20 +62,22 @@
         return attempts.get(number);
     }
 
-    /** Adds an attempt after a check that the request may have it now, at this endpoint and until this time. */
+    /** Asserts that the request may have an attempt now at this endpoint with this deadline, and adds the attempt. */
     void startAttempt(EndpointListEntry endpoint, LoadBalancerSettings settings, long attemptDeadlineUs, long nowUs) {
-        assertFalse(finished, "no attempt follows the final response");
-        assertTrue(attemptDeadlineUs <= deadlineAtUs, "an attempt ends before the request's deadline");
-        assertTrue(nowUs < deadlineAtUs, "an attempt starts before the request's deadline");
-        assertTrue(attempts.size() < settings.maxAttempts, "no more attempts than the settings allow");
+        assertFalse(finished, "attempt started after the final response");
+        assertTrue(
+                attemptDeadlineUs <= deadlineAtUs,
+                "attempt deadline " + attemptDeadlineUs + " is after the request deadline " + deadlineAtUs);
+        assertTrue(nowUs < deadlineAtUs, "attempt started at " + nowUs + ", not before the deadline " + deadlineAtUs);
+        assertTrue(attempts.size() < settings.maxAttempts, "more than " + settings.maxAttempts + " attempts started");
         TrackedAttempt executed = firstPossiblyExecuted();
         if (executed != null) {
             assertMayBeRetried(executed, endpoint, nowUs);
             assertTrue(
                     settings.hedgingEnabled || attempts.stream().noneMatch(TrackedAttempt::isInFlight),
-                    "two attempts in flight only with hedging");
+                    "second attempt in flight although hedging is disabled");
         }
-        assertTrue(endpoint.state() == EndpointState.READY, "no attempt at a draining or removed endpoint");
+        assertTrue(endpoint.state() == EndpointState.READY, "attempt started at endpoint in state " + endpoint.state());
         attempts.add(new TrackedAttempt(endpoint, nowUs));
     }
 
@@ -89,12 +91,14 @@
     private void assertMayBeRetried(TrackedAttempt executed, EndpointListEntry endpoint, long nowUs) {
         assertTrue(
                 requestClass.idempotency() != Idempotency.NON_IDEMPOTENT,
-                "a non-idempotent request that may have been executed is not retried");
+                "non-idempotent request retried although it may have been executed");
         if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
             assertTrue(
                     nowUs <= executed.startedAtUs + requestClass.deduplicationWindowUs(),
-                    "a retry is within the deduplication window");
-            assertTrue(isInDeduplicationScope(executed.endpoint, endpoint), "a retry stays in the deduplication scope");
+                    "request retried after its deduplication window");
+            assertTrue(
+                    isInDeduplicationScope(executed.endpoint, endpoint),
+                    "request retried outside of its deduplication scope " + requestClass.deduplicationScope());
         }
     }
 
@@ -106,16 +110,18 @@
         };
     }
 
-    /** Finishes the request after a check that it may have this final response now. */
+    /** Asserts that the request may have this final response now, and marks it as finished. */
     void finishWithoutSuccess(boolean rejected, LoadBalancerSettings settings, long nowUs) {
-        assertFalse(finished, "only one final response");
-        assertTrue(nowUs <= deadlineAtUs + settings.eventIntervalUs, "the final response is in time");
+        assertFalse(finished, "second final response");
+        assertTrue(
+                nowUs <= deadlineAtUs + settings.eventIntervalUs,
+                "final response at " + nowUs + ", too late for the deadline " + deadlineAtUs);
         if (rejected && firstPossiblyExecuted() != null) {
             assertTrue(
                     requestClass.idempotency() == Idempotency.IDEMPOTENT
                             || (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                                     && requestClass.deduplicationScope() == DeduplicationScope.ALL),
-                    "a rejection promises that the client may safely retry");
+                    "request rejected although the client may not safely retry");
         }
         finished = true;
     }
