--- a/src/main/java/loadbalancer/policy/ActiveEndpoints.java
+++ b/src/main/java/loadbalancer/policy/ActiveEndpoints.java
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Determines the active endpoints anew after a change of the endpoint list.
+     * Recomputes the active endpoints after a change of the endpoint list.
      *
      * @param listed all endpoints of the list, in list order
      */
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Closes this instance's idle connections to an endpoint that is not active and has no attempt in flight. Such
-     * connections would take up room that the instances using the endpoint need for theirs.
+     * Closes this instance's idle connections to an endpoint that is not active and has no attempt in flight. Open ones
+     * would leave fewer connections for the instances that use the endpoint.
      */
     void closeIfUnused(Endpoint endpoint) {
         if (!endpoint.isActive() && endpoint.concurrency().inFlight() == 0) {
--- a/src/main/java/loadbalancer/policy/LoadBalancerSettings.java
+++ b/src/main/java/loadbalancer/policy/LoadBalancerSettings.java
@@ -17,9 +17,9 @@
     public List<RequestClass> classes = new ArrayList<>();
     /** Tenants; may be empty. */
     public List<Tenant> tenants = new ArrayList<>();
-    /** Factor by which the priority weight of a request changes if its tenant is over its quota. */
+    /** Factor applied to the priority weight of a request whose tenant is over its quota. */
     public double overQuotaPriorityWeight = 1;
-    /** Whether priority weights are for each unit of work; otherwise they are for each request. */
+    /** Whether priority weights count per unit of work; otherwise they count per request. */
     public boolean weightByWork;
     /** Maximum number of attempts for a request. */
     public int maxAttempts = 3;
@@ -37,7 +37,7 @@
     public boolean endpointListPolled;
     /** Maximum time between two polls of the endpoint list while there is no watch. */
     public long pollIntervalUs = 10_000_000;
-    /** Time after the notification that an endpoint is draining or removed until which attempts there may continue. */
+    /** Time for which attempts at an endpoint may continue after the notification that it is draining or removed. */
     public long drainGraceUs = 1_000_000;
     /** Minimum share of its full capacity that an endpoint has when its process starts. */
     public double initialCapacityShare = 0.2;
--- a/src/main/java/loadbalancer/policy/RequestClass.java
+++ b/src/main/java/loadbalancer/policy/RequestClass.java
@@ -5,11 +5,12 @@
  *
  * @param name the name of the class in the settings
  * @param latencyObjectiveUs time within which a response earns the full priority weight
- * @param latencyObjectiveStretch how much later the objective is for each microsecond of a request's own work; the
+ * @param latencyObjectiveStretch multiple of a request's own work by which its latency objective is extended; the
  *     objective is never later than the deadline
  * @param deadlineUs how long a client waits in total, including its own retries
  * @param priorityWeight weight of a request of the class when priorities are determined
- * @param latePriorityWeight factor of the priority weight that a response after the objective still earns, from 0
+ * @param latePriorityWeight factor applied to the priority weight if the response is later than the objective; with 0, a
+ *     late response earns nothing
  * @param idempotency whether a request may be executed more than once
  * @param deduplicationScope the endpoints that drop repetitions of a request with an idempotency key
  * @param deduplicationWindowUs how long these endpoints drop repetitions, from the start of the first attempt that may
--- a/src/test/java/loadbalancer/policy/AdmissionTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionTest.java
@@ -187,8 +187,8 @@
     }
 
     /**
-     * Guards against limits that grow during an overload and so keep it up: while most responses are late, the few timely
-     * ones must not raise limits as usual.
+     * Guards against limits that grow during an overload and so prolong it: while most responses are late, the few
+     * timely ones must not raise limits as much as usual.
      */
     @Test
     void limitsGrowLessWhileResponsesAreLate() {
