--- a/src/main/java/loadbalancer/policy/LoadBalancer.java
+++ b/src/main/java/loadbalancer/policy/LoadBalancer.java
@@ -22,9 +22,9 @@
     void onEndpointListFailed(long nowUs);
 
     /**
-     * Reports a new end of the lease on the endpoint list. Without a lease, no attempt starts, and requests that have no
-     * attempt in flight get a final response: a rejection where the client may safely retry, else a failure. Until the
-     * first call of this method, the lease has no end.
+     * Reports a new end of the lease on the endpoint list. Without a lease, no attempt starts, and requests that have
+     * no attempt in flight get a final response: a rejection where the client may safely retry, else a failure. Until
+     * the first call of this method, the lease has no end.
      */
     void onLeaseChanged(long nowUs, long endsAtUs);
 
