--- a/src/main/java/loadbalancer/policy/LoadBalancerSettings.java
+++ b/src/main/java/loadbalancer/policy/LoadBalancerSettings.java
@@ -88,7 +88,7 @@
             requireNotNegative(requestClass.latencyObjectiveUs(), "latencyObjectiveUs");
             require(requestClass.deadlineUs() > 0, "deadlineUs is not above 0: " + requestClass.deadlineUs());
             requireNotNegative(requestClass.deduplicationWindowUs(), "deduplicationWindowUs");
-            requireNotNegative(requestClass.latencyObjectiveStretch(), "latencyObjectiveStretch");
+            requireNotNegative(requestClass.latencyObjectiveWorkFactor(), "latencyObjectiveWorkFactor");
             requireNotNegative(requestClass.priorityWeight(), "priorityWeight");
             requireNotNegative(requestClass.latePriorityWeight(), "latePriorityWeight");
             require(hasDeduplicationScope(requestClass), "deduplicationScope is missing; idempotency keys require one");
--- a/src/main/java/loadbalancer/policy/RequestClass.java
+++ b/src/main/java/loadbalancer/policy/RequestClass.java
@@ -5,7 +5,7 @@
  *
  * @param name the name of the class in the settings
  * @param latencyObjectiveUs time within which a response earns the full priority weight
- * @param latencyObjectiveStretch multiple of a request's own work by which its latency objective is extended; the
+ * @param latencyObjectiveWorkFactor multiple of a request's own work by which its latency objective is extended; the
  *     objective is never later than the deadline
  * @param deadlineUs how long a client waits in total, including its own retries
  * @param priorityWeight weight of a request of the class when priorities are determined
@@ -20,7 +20,7 @@
 public record RequestClass(
         String name,
         long latencyObjectiveUs,
-        double latencyObjectiveStretch,
+        double latencyObjectiveWorkFactor,
         long deadlineUs,
         double priorityWeight,
         double latePriorityWeight,
--- a/src/main/java/loadbalancer/policy/model/PendingRequest.java
+++ b/src/main/java/loadbalancer/policy/model/PendingRequest.java
@@ -44,7 +44,7 @@
     }
 
     private static long latencyObjectiveUs(Request request, RequestClass requestClass) {
-        long stretchUs = (long) (requestClass.latencyObjectiveStretch() * request.workUs());
+        long stretchUs = (long) (requestClass.latencyObjectiveWorkFactor() * request.workUs());
         return Math.min(requestClass.deadlineUs(), requestClass.latencyObjectiveUs() + stretchUs);
     }
 
--- a/src/main/java/loadbalancer/proxy/config/SettingNames.java
+++ b/src/main/java/loadbalancer/proxy/config/SettingNames.java
@@ -41,7 +41,7 @@
     static final String TENANT_QUOTA_PER_SECOND = "quotaPerS";
 
     static final String CLASS_LATENCY_OBJECTIVE_US = "onTimeUs";
-    static final String CLASS_LATENCY_OBJECTIVE_STRETCH = "aimStretch";
+    static final String CLASS_LATENCY_OBJECTIVE_WORK_FACTOR = "aimStretch";
     static final String CLASS_DEADLINE_US = "giveUpUs";
     static final String CLASS_PRIORITY_WEIGHT = "importance";
     static final String CLASS_LATE_PRIORITY_WEIGHT = "lateWorth";
--- a/src/main/java/loadbalancer/proxy/config/SettingsParser.java
+++ b/src/main/java/loadbalancer/proxy/config/SettingsParser.java
@@ -66,7 +66,7 @@
         return new RequestClass(
                 values.required(prefix + SettingNames.NAME),
                 values.requiredLongNumber(prefix + SettingNames.CLASS_LATENCY_OBJECTIVE_US),
-                values.decimal(prefix + SettingNames.CLASS_LATENCY_OBJECTIVE_STRETCH, 0),
+                values.decimal(prefix + SettingNames.CLASS_LATENCY_OBJECTIVE_WORK_FACTOR, 0),
                 values.requiredLongNumber(prefix + SettingNames.CLASS_DEADLINE_US),
                 values.decimal(prefix + SettingNames.CLASS_PRIORITY_WEIGHT, 1),
                 values.decimal(prefix + SettingNames.CLASS_LATE_PRIORITY_WEIGHT, 0),
--- a/src/test/java/loadbalancer/policy/PolicyTestObjects.java
+++ b/src/test/java/loadbalancer/policy/PolicyTestObjects.java
@@ -37,7 +37,7 @@
                 new RequestClass(
                         before.name(),
                         before.latencyObjectiveUs(),
-                        before.latencyObjectiveStretch(),
+                        before.latencyObjectiveWorkFactor(),
                         before.deadlineUs(),
                         before.priorityWeight(),
                         weight,
