--- a/src/main/java/loadbalancer/policy/LoadBalancerSettings.java
+++ b/src/main/java/loadbalancer/policy/LoadBalancerSettings.java
@@ -18,7 +18,7 @@
     /** Tenants; may be empty. */
     public List<Tenant> tenants = new ArrayList<>();
     /** Factor applied to the priority weight of a request whose tenant is over its quota. */
-    public double overQuotaPriorityWeight = 1;
+    public double overQuotaPriorityFactor = 1;
     /** Whether priority weights count per unit of work; otherwise they count per request. */
     public boolean weightByWork;
     /** Maximum number of attempts for a request. */
@@ -90,7 +90,7 @@
             requireNotNegative(requestClass.deduplicationWindowUs(), "deduplicationWindowUs");
             requireNotNegative(requestClass.latencyObjectiveWorkFactor(), "latencyObjectiveWorkFactor");
             requireNotNegative(requestClass.priorityWeight(), "priorityWeight");
-            requireNotNegative(requestClass.latePriorityWeight(), "latePriorityWeight");
+            requireNotNegative(requestClass.latePriorityFactor(), "latePriorityFactor");
             require(hasDeduplicationScope(requestClass), "deduplicationScope is missing; idempotency keys require one");
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException("class " + requestClass.name() + ": " + e.getMessage(), e);
--- a/src/main/java/loadbalancer/policy/RequestClass.java
+++ b/src/main/java/loadbalancer/policy/RequestClass.java
@@ -9,7 +9,7 @@
  *     objective is never later than the deadline
  * @param deadlineUs how long a client waits in total, including its own retries
  * @param priorityWeight weight of a request of the class when priorities are determined
- * @param latePriorityWeight factor applied to the priority weight if the response is later than the objective; with 0,
+ * @param latePriorityFactor factor applied to the priority weight if the response is later than the objective; with 0,
  *     a late response earns nothing
  * @param idempotency whether a request may be executed more than once
  * @param deduplicationScope the endpoints that drop repetitions of a request with an idempotency key
@@ -23,7 +23,7 @@
         double latencyObjectiveWorkFactor,
         long deadlineUs,
         double priorityWeight,
-        double latePriorityWeight,
+        double latePriorityFactor,
         Idempotency idempotency,
         DeduplicationScope deduplicationScope,
         long deduplicationWindowUs,
--- a/src/main/java/loadbalancer/policy/admission/RequestPriorities.java
+++ b/src/main/java/loadbalancer/policy/admission/RequestPriorities.java
@@ -25,7 +25,7 @@
     public void assign(PendingRequest request, long nowUs) {
         double weight = request.requestClass().priorityWeight();
         if (!quotas.tryConsume(request.tenant(), nowUs)) {
-            weight *= settings.overQuotaPriorityWeight;
+            weight *= settings.overQuotaPriorityFactor;
             if (!settings.endpointsCacheKeys) {
                 request.setOverQuota();
             }
--- a/src/main/java/loadbalancer/policy/admission/RequestQueue.java
+++ b/src/main/java/loadbalancer/policy/admission/RequestQueue.java
@@ -149,7 +149,7 @@
 
     private boolean isExpired(PendingRequest request, boolean isLate, long nowUs) {
         return request.deadlineAtUs() - nowUs <= expiryMarginUs(request)
-                || (isLate && request.requestClass().latePriorityWeight() == 0)
+                || (isLate && request.requestClass().latePriorityFactor() == 0)
                 || !dispatcher.mayRetry(request, nowUs);
     }
 
--- a/src/main/java/loadbalancer/policy/model/PendingRequest.java
+++ b/src/main/java/loadbalancer/policy/model/PendingRequest.java
@@ -168,7 +168,7 @@
     /** It is known to miss its latency objective, which lowers its priority. */
     public void setLate() {
         late = true;
-        priority *= requestClass.latePriorityWeight();
+        priority *= requestClass.latePriorityFactor();
     }
 
     // What its client and its response have done.
--- a/src/main/java/loadbalancer/proxy/config/SettingNames.java
+++ b/src/main/java/loadbalancer/proxy/config/SettingNames.java
@@ -12,7 +12,7 @@
     static final String LOCAL_ZONE = "myZone";
     static final String CLASSES = "classes";
     static final String TENANTS = "realms";
-    static final String OVER_QUOTA_PRIORITY_WEIGHT = "overShareWorth";
+    static final String OVER_QUOTA_PRIORITY_FACTOR = "overShareWorth";
     static final String WEIGHTED_BY = "countedBy";
     static final String MAX_ATTEMPTS = "limits.attemptsCap";
     static final String HEDGING_ENABLED = "limits.parallelTries";
@@ -44,7 +44,7 @@
     static final String CLASS_LATENCY_OBJECTIVE_WORK_FACTOR = "aimStretch";
     static final String CLASS_DEADLINE_US = "giveUpUs";
     static final String CLASS_PRIORITY_WEIGHT = "importance";
-    static final String CLASS_LATE_PRIORITY_WEIGHT = "lateWorth";
+    static final String CLASS_LATE_PRIORITY_FACTOR = "lateWorth";
     static final String CLASS_IDEMPOTENCY = "repeat";
     static final String CLASS_DEDUPLICATION_SCOPE = "group";
     static final String CLASS_DEDUPLICATION_WINDOW_US = "windowUs";
--- a/src/main/java/loadbalancer/proxy/config/SettingsParser.java
+++ b/src/main/java/loadbalancer/proxy/config/SettingsParser.java
@@ -69,7 +69,7 @@
                 values.decimal(prefix + SettingNames.CLASS_LATENCY_OBJECTIVE_WORK_FACTOR, 0),
                 values.requiredLongNumber(prefix + SettingNames.CLASS_DEADLINE_US),
                 values.decimal(prefix + SettingNames.CLASS_PRIORITY_WEIGHT, 1),
-                values.decimal(prefix + SettingNames.CLASS_LATE_PRIORITY_WEIGHT, 0),
+                values.decimal(prefix + SettingNames.CLASS_LATE_PRIORITY_FACTOR, 0),
                 parseIdempotency(prefix + SettingNames.CLASS_IDEMPOTENCY),
                 parseDeduplicationScope(prefix + SettingNames.CLASS_DEDUPLICATION_SCOPE),
                 values.longNumber(prefix + SettingNames.CLASS_DEDUPLICATION_WINDOW_US, 0),
@@ -104,8 +104,8 @@
             double quotaPerSecond = values.decimal(prefix + SettingNames.TENANT_QUOTA_PER_SECOND, 0);
             settings.tenants.add(new Tenant(name, quotaPerSecond));
         }
-        settings.overQuotaPriorityWeight =
-                values.decimal(SettingNames.OVER_QUOTA_PRIORITY_WEIGHT, settings.overQuotaPriorityWeight);
+        settings.overQuotaPriorityFactor =
+                values.decimal(SettingNames.OVER_QUOTA_PRIORITY_FACTOR, settings.overQuotaPriorityFactor);
         settings.weightByWork = SettingNames.WEIGHTED_BY_WORK.equals(values.text(SettingNames.WEIGHTED_BY, ""));
     }
 
--- a/src/test/java/loadbalancer/policy/ActionDigestTest.java
+++ b/src/test/java/loadbalancer/policy/ActionDigestTest.java
@@ -53,7 +53,7 @@
         settings.endpointsCacheKeys = endpointsCacheKeys;
         settings.crossZoneCost = 0.1;
         settings.endpointListPolled = true;
-        settings.overQuotaPriorityWeight = 0.2;
+        settings.overQuotaPriorityFactor = 0.2;
         settings.tenants.clear();
         settings.tenants.add(new Tenant("large", 20 * instances));
         settings.tenants.add(new Tenant("small", 5 * instances));
--- a/src/test/java/loadbalancer/policy/AdmissionTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionTest.java
@@ -65,7 +65,7 @@
     private static LoadBalancerSettings settingsWithQuotas() {
         LoadBalancerSettings settings = LoadBalancerFixture.settings();
         settings.tenants.clear();
-        settings.overQuotaPriorityWeight = 0.1;
+        settings.overQuotaPriorityFactor = 0.1;
         settings.tenants.add(new Tenant("over quota", 1));
         settings.tenants.add(new Tenant("within quota", 100));
         return settings;
--- a/src/test/java/loadbalancer/policy/LargeFleetTest.java
+++ b/src/test/java/loadbalancer/policy/LargeFleetTest.java
@@ -156,7 +156,7 @@
         settings.instances = INSTANCES;
         settings.instanceIndex = 3;
         settings.tenants.clear();
-        settings.overQuotaPriorityWeight = 0.1;
+        settings.overQuotaPriorityFactor = 0.1;
         settings.tenants.add(new Tenant("over quota", 1));
         settings.tenants.add(new Tenant("within quota", 100_000));
         LoadBalancerFixture instance = new LoadBalancerFixture(settings, 103).withEndpoints(ENDPOINTS);
--- a/src/test/java/loadbalancer/policy/PolicyTestObjects.java
+++ b/src/test/java/loadbalancer/policy/PolicyTestObjects.java
@@ -30,7 +30,7 @@
     }
 
     /** Replaces a class by one that differs only in the factor of the priority weight that a late response earns. */
-    public static void setLatePriorityWeight(LoadBalancerSettings settings, int classIndex, double weight) {
+    public static void setLatePriorityFactor(LoadBalancerSettings settings, int classIndex, double weight) {
         RequestClass before = settings.classes.get(classIndex);
         settings.classes.set(
                 classIndex,
--- a/src/test/java/loadbalancer/policy/admission/RequestPrioritiesTest.java
+++ b/src/test/java/loadbalancer/policy/admission/RequestPrioritiesTest.java
@@ -43,7 +43,7 @@
     @Test
     void requestsOverTheirTenantsQuotaHaveLowerPriority() {
         settings.tenants.set(0, new Tenant("tenant", 1));
-        settings.overQuotaPriorityWeight = 0.25;
+        settings.overQuotaPriorityFactor = 0.25;
         settings.weightByWork = true;
         RequestPriorities priorities = new RequestPriorities(settings, latencies);
         PendingRequest within = assigned(priorities, 0);
@@ -57,7 +57,7 @@
     @Test
     void theQuotaAffectsOnlyThePriorityIfEndpointsCacheKeys() {
         settings.tenants.set(0, new Tenant("tenant", 1));
-        settings.overQuotaPriorityWeight = 0.25;
+        settings.overQuotaPriorityFactor = 0.25;
         settings.weightByWork = true;
         settings.endpointsCacheKeys = true;
         RequestPriorities priorities = new RequestPriorities(settings, latencies);
--- a/src/test/java/loadbalancer/policy/admission/RequestQueueTest.java
+++ b/src/test/java/loadbalancer/policy/admission/RequestQueueTest.java
@@ -163,8 +163,8 @@
 
     @Test
     void aLateRequestIsMovedBehindThoseOfHigherPriority() {
-        PolicyTestObjects.setLatePriorityWeight(settings, PolicyTestObjects.IDEMPOTENT, 0.25);
-        PolicyTestObjects.setLatePriorityWeight(settings, PolicyTestObjects.NON_IDEMPOTENT, 1);
+        PolicyTestObjects.setLatePriorityFactor(settings, PolicyTestObjects.IDEMPOTENT, 0.25);
+        PolicyTestObjects.setLatePriorityFactor(settings, PolicyTestObjects.NON_IDEMPOTENT, 1);
         PendingRequest late = enqueue(2);
         PendingRequest other = enqueue(PolicyTestObjects.NON_IDEMPOTENT, null, 1);
         dispatch(NOW_US + 200_001);
@@ -176,7 +176,7 @@
 
     @Test
     void aRequestExpiresEarlyEnoughToRespondBeforeTheDeadline() {
-        PolicyTestObjects.setLatePriorityWeight(settings, PolicyTestObjects.IDEMPOTENT, 0.5);
+        PolicyTestObjects.setLatePriorityFactor(settings, PolicyTestObjects.IDEMPOTENT, 0.5);
         PendingRequest request = enqueue(1);
         // The margin is an eighth of the request's one second, which is less than the maximum suspension.
         dispatch(request.deadlineAtUs() - 125_001);
--- a/src/test/java/loadbalancer/policy/model/PendingRequestTest.java
+++ b/src/test/java/loadbalancer/policy/model/PendingRequestTest.java
@@ -121,7 +121,7 @@
 
     @Test
     void aLateRequestHasThePartOfItsPriorityThatItsClassGivesLateResponses() {
-        PolicyTestObjects.setLatePriorityWeight(settings, PolicyTestObjects.IDEMPOTENT, 0.25);
+        PolicyTestObjects.setLatePriorityFactor(settings, PolicyTestObjects.IDEMPOTENT, 0.25);
         PendingRequest late = PolicyTestObjects.request(settings, PolicyTestObjects.IDEMPOTENT, NOW_US);
         late.setPriority(8);
         late.setLate();
