--- a/src/main/java/loadbalancer/policy/LoadBalancerSettings.java
+++ b/src/main/java/loadbalancer/policy/LoadBalancerSettings.java
@@ -20,7 +20,7 @@
     /** Factor applied to the priority weight of a request whose tenant is over its quota. */
     public double overQuotaPriorityFactor = 1;
     /** Whether priority weights count per unit of work; otherwise they count per request. */
-    public boolean weightByWork;
+    public boolean isPriorityWeightPerWork;
     /** Maximum number of attempts for a request. */
     public int maxAttempts = 3;
     /** Whether a request may have two attempts in flight at once. */
--- a/src/main/java/loadbalancer/policy/RequestClass.java
+++ b/src/main/java/loadbalancer/policy/RequestClass.java
@@ -15,7 +15,7 @@
  * @param deduplicationScope the endpoints that drop repetitions of a request with an idempotency key
  * @param deduplicationWindowUs how long these endpoints drop repetitions, from the start of the first attempt that may
  *     have been executed
- * @param streaming whether responses are streamed
+ * @param isStreaming whether responses are streamed
  */
 public record RequestClass(
         String name,
@@ -27,4 +27,4 @@
         Idempotency idempotency,
         DeduplicationScope deduplicationScope,
         long deduplicationWindowUs,
-        boolean streaming) {}
+        boolean isStreaming) {}
--- a/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
+++ b/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
@@ -178,7 +178,7 @@
     @Override
     public void onAttemptOutcome(long nowUs, AttemptOutcome outcome) {
         PendingRequest request = dispatcher.find(outcome.requestId());
-        Attempt attempt = request == null ? null : request.attempt(outcome.attempt());
+        Attempt attempt = request == null ? null : request.attempt(outcome.attemptNumber());
         if (attempt == null || !attempt.isInFlight()) {
             return;
         }
--- a/src/main/java/loadbalancer/policy/admission/RequestPriorities.java
+++ b/src/main/java/loadbalancer/policy/admission/RequestPriorities.java
@@ -45,6 +45,6 @@
     }
 
     private double priorityOf(double weight, int classIndex) {
-        return settings.weightByWork ? weight : weight / Math.max(1, latencies.meanUs(classIndex));
+        return settings.isPriorityWeightPerWork ? weight : weight / Math.max(1, latencies.meanUs(classIndex));
     }
 }
--- a/src/test/java/loadbalancer/policy/PolicyTestObjects.java
+++ b/src/test/java/loadbalancer/policy/PolicyTestObjects.java
@@ -44,7 +44,7 @@
                         before.idempotency(),
                         before.deduplicationScope(),
                         before.deduplicationWindowUs(),
-                        before.streaming()));
+                        before.isStreaming()));
     }
 
     /** Returns a request of the only tenant that has no key and one second left. */
--- a/src/test/java/loadbalancer/policy/admission/RequestPrioritiesTest.java
+++ b/src/test/java/loadbalancer/policy/admission/RequestPrioritiesTest.java
@@ -36,7 +36,7 @@
     @Test
     void weightsPerUnitOfWorkAreThePriority() {
         latencies.record(0, 10_000);
-        settings.weightByWork = true;
+        settings.isPriorityWeightPerWork = true;
         assertEquals(1, assigned(new RequestPriorities(settings, latencies), 0).priority());
     }
 
@@ -44,7 +44,7 @@
     void requestsOverTheirTenantsQuotaHaveLowerPriority() {
         settings.tenants.set(0, new Tenant("tenant", 1));
         settings.overQuotaPriorityFactor = 0.25;
-        settings.weightByWork = true;
+        settings.isPriorityWeightPerWork = true;
         RequestPriorities priorities = new RequestPriorities(settings, latencies);
         PendingRequest within = assigned(priorities, 0);
         PendingRequest over = assigned(priorities, 0);
@@ -58,7 +58,7 @@
     void theQuotaAffectsOnlyThePriorityIfEndpointsCacheKeys() {
         settings.tenants.set(0, new Tenant("tenant", 1));
         settings.overQuotaPriorityFactor = 0.25;
-        settings.weightByWork = true;
+        settings.isPriorityWeightPerWork = true;
         settings.endpointsCacheKeys = true;
         RequestPriorities priorities = new RequestPriorities(settings, latencies);
         assigned(priorities, 0);
