--- a/src/main/java/loadbalancer/policy/AttemptDispatcher.java
+++ b/src/main/java/loadbalancer/policy/AttemptDispatcher.java
@@ -14,7 +14,7 @@
 import loadbalancer.policy.retry.RetryRules;
 import loadbalancer.policy.statistics.ServiceRate;
 
-/** Keeps the pending requests: starts their attempts, retries and hedged requests, and gives their final responses. */
+/** The pending requests, and the logic that starts their attempts and hedged requests and ends them with a response. */
 final class AttemptDispatcher implements RequestQueue.Dispatcher {
     private final LoadBalancerSettings settings;
     private final LoadBalancerActions actions;
--- a/src/main/java/loadbalancer/policy/AttemptOutcome.java
+++ b/src/main/java/loadbalancer/policy/AttemptOutcome.java
@@ -12,4 +12,9 @@
  *     {@link LoadBalancerSettings#loadReportFields}, or null if there is none
  */
 public record AttemptOutcome(
-        long requestId, int attemptNumber, AttemptResult result, long latencyUs, boolean requestEnded, double[] loadReport) {}
+        long requestId,
+        int attemptNumber,
+        AttemptResult result,
+        long latencyUs,
+        boolean requestEnded,
+        double[] loadReport) {}
--- a/src/main/java/loadbalancer/policy/EndpointSelector.java
+++ b/src/main/java/loadbalancer/policy/EndpointSelector.java
@@ -9,7 +9,7 @@
 import loadbalancer.policy.selection.EndpointFilter;
 import loadbalancer.policy.selection.EndpointPicker;
 
-/** Selects the endpoint of each attempt: an ejected endpoint that is due for probation, or else a pick by weight. */
+/** The choice of the endpoint for each attempt: an ejected one that is due for probation, or else a pick by weight. */
 final class EndpointSelector {
     private final OutlierDetector outlierDetector;
     private final EndpointPicker picker;
@@ -21,7 +21,7 @@
         this.filter = filter;
     }
 
-    /** Checks an endpoint's state, ejection, concurrency limits and slow start, and the idempotency of the request. */
+    /** The conditions for an attempt: the endpoint's state, ejection, limits and slow start, and the retry rules. */
     static final class Filter implements EndpointFilter {
         private final ConcurrencyLimiter limiter;
         private final SlowStart slowStart;
@@ -40,7 +40,7 @@
                     && isPermitted(request, endpoint, nowUs);
         }
 
-        /** Returns whether an attempt may be made apart from ejection and concurrency limits, as for probation. */
+        /** Returns whether the conditions other than ejection and concurrency limits are met, as probation requires. */
         boolean isPermitted(PendingRequest request, Endpoint endpoint, long nowUs) {
             return endpoint.state() == EndpointState.READY
                     && slowStart.allows(endpoint, nowUs)
--- a/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
+++ b/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
@@ -27,7 +27,7 @@
 import loadbalancer.policy.statistics.TimelyResponseRate;
 
 /**
- * The decision module: handles each event by calls to its parts in a fixed order.
+ * The decision module, which handles each event by calls to its parts in a fixed order.
  *
  * <p>Normally the ServiceQ mechanism applies. A failed attempt adds one to its endpoint's error count, and a success
  * clears the count ({@link OutlierDetector}). For a first attempt, two endpoints are picked by weights that fall as the
--- a/src/main/java/loadbalancer/policy/TimerSchedule.java
+++ b/src/main/java/loadbalancer/policy/TimerSchedule.java
@@ -1,6 +1,6 @@
 package loadbalancer.policy;
 
-/** Keeps track of the single timer that the module has set with its caller. */
+/** The single timer that the module has set with its caller. */
 final class TimerSchedule {
     private static final long NO_TIMER = Long.MAX_VALUE;
 
--- a/src/main/java/loadbalancer/proxy/config/SettingsParser.java
+++ b/src/main/java/loadbalancer/proxy/config/SettingsParser.java
@@ -106,7 +106,8 @@
         }
         settings.overQuotaPriorityFactor =
                 values.decimal(SettingNames.OVER_QUOTA_PRIORITY_FACTOR, settings.overQuotaPriorityFactor);
-        settings.isPriorityWeightPerWork = SettingNames.WEIGHTED_BY_WORK.equals(values.text(SettingNames.WEIGHTED_BY, ""));
+        settings.isPriorityWeightPerWork =
+                SettingNames.WEIGHTED_BY_WORK.equals(values.text(SettingNames.WEIGHTED_BY, ""));
     }
 
     private void parseAttempts() throws ConfigurationException {
--- a/src/test/java/loadbalancer/policy/PolicyTestObjects.java
+++ b/src/test/java/loadbalancer/policy/PolicyTestObjects.java
@@ -3,7 +3,7 @@
 import loadbalancer.policy.model.Endpoint;
 import loadbalancer.policy.model.PendingRequest;
 
-/** Creates settings, requests and endpoints for unit tests of the decision module's classes. */
+/** Factory methods for the settings, requests and endpoints of unit tests of the decision module's classes. */
 public final class PolicyTestObjects {
     /** Index of the class of idempotent requests, with objective 200 ms, deadline 1 s and priority weight 1. */
     public static final int IDEMPOTENT = LoadBalancerFixture.IDEMPOTENT;
@@ -29,8 +29,8 @@
         return LoadBalancerFixture.settings();
     }
 
-    /** Replaces a class by one that differs only in the factor of the priority weight that a late response earns. */
-    public static void setLatePriorityFactor(LoadBalancerSettings settings, int classIndex, double weight) {
+    /** Replaces a class by one that differs only in the priority factor of late responses. */
+    public static void setLatePriorityFactor(LoadBalancerSettings settings, int classIndex, double factor) {
         RequestClass before = settings.classes.get(classIndex);
         settings.classes.set(
                 classIndex,
@@ -40,7 +40,7 @@
                         before.latencyObjectiveWorkFactor(),
                         before.deadlineUs(),
                         before.priorityWeight(),
-                        weight,
+                        factor,
                         before.idempotency(),
                         before.deduplicationScope(),
                         before.deduplicationWindowUs(),
--- a/src/test/java/loadbalancer/policy/RandomSettings.java
+++ b/src/test/java/loadbalancer/policy/RandomSettings.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** Generates random settings. */
+/** Random settings for an instance. */
 final class RandomSettings {
     private RandomSettings() {}
 
--- a/src/test/java/loadbalancer/policy/RecordingActions.java
+++ b/src/test/java/loadbalancer/policy/RecordingActions.java
@@ -5,7 +5,7 @@
 
 import loadbalancer.policy.log.PolicyEvent;
 
-/** Records the actions that a class under test requests. */
+/** A record of the actions that a class under test requests. */
 public final class RecordingActions implements LoadBalancerActions {
     public final List<String> startedAttempts = new ArrayList<>();
     public final List<String> cancelledAttempts = new ArrayList<>();
