--- a/src/main/java/loadbalancer/policy/LoadBalancer.java
+++ b/src/main/java/loadbalancer/policy/LoadBalancer.java
@@ -22,11 +22,11 @@
     void onEndpointListFailed(long nowUs);
 
     /**
-     * Reports a new end of the lease on the endpoint list. Without a lease, no attempt starts, and requests that have
+     * Reports a new expiry of the lease on the endpoint list. Without a lease, no attempt starts, and requests that have
      * no attempt in flight get a final response: a rejection where the client may safely retry, else a failure. Until
-     * the first call of this method, the lease has no end.
+     * the first call of this method, the lease does not expire.
      */
-    void onLeaseChanged(long nowUs, long endsAtUs);
+    void onLeaseChanged(long nowUs, long expiresAtUs);
 
     /**
      * Reports a request from a client. It gets exactly one final response, or none if its client disconnects before.
--- a/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
+++ b/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
@@ -37,19 +37,13 @@
  * is queued ({@link RequestQueue}).
  */
 public final class ServiceQLoadBalancer implements LoadBalancer {
-    /**
-     * Minimum interval between two sweeps of the request queue: long compared with the cost of a sweep, short compared
-     * with any latency objective.
-     */
+    /** Minimum interval between queue sweeps: long against the cost of a sweep, short against any latency objective. */
     private static final long MIN_SWEEP_INTERVAL_US = 5_000;
 
-    /**
-     * Maximum number of queued requests with a key for which a search for an endpoint may fail at each event other than
-     * a timer.
-     */
+    /** Maximum number of failed selections of endpoints for queued requests with a key, at an event but no timer. */
     private static final int MAX_FAILED_KEYED_PICKS_PER_EVENT = 4;
 
-    /** Maximum number of queued requests with a key for which a search for an endpoint may fail at each timer. */
+    /** The same maximum at a timer. */
     private static final int MAX_FAILED_KEYED_PICKS_PER_TIMER = 64;
 
     private final LoadBalancerSettings settings;
@@ -125,8 +119,8 @@
     }
 
     @Override
-    public void onLeaseChanged(long nowUs, long endsAtUs) {
-        lease.onLeaseChanged(endsAtUs, nowUs);
+    public void onLeaseChanged(long nowUs, long expiresAtUs) {
+        lease.onLeaseChanged(expiresAtUs, nowUs);
         queue.dispatch(MAX_FAILED_KEYED_PICKS_PER_EVENT, nowUs);
         scheduleTimer(nowUs);
     }
@@ -235,10 +229,7 @@
                         && classHealth.lastResponseAtUs() >= attempt.startedAtUs());
     }
 
-    /**
-     * Updates the statistics with an outcome. An attempt that is cancelled because its client disconnected counts as
-     * abandoned as slow if it had already taken longer than most attempts of its class.
-     */
+    /** Updates the statistics with an outcome, and determines whether the client has abandoned a slow attempt. */
     private ObservedOutcome updateStatistics(PendingRequest request, AttemptOutcome outcome, long nowUs) {
         AttemptResult result = outcome.result();
         int classIndex = request.classIndex();
@@ -278,8 +269,7 @@
         boolean wasSuspended = timer.onFired(nowUs);
         poller.onTimer(nowUs);
         if (!wasSuspended) {
-            // After a suspension of this process, responses that have arrived may still be unread, so that an attempt
-            // without a response is not necessarily unresponsive.
+            // Responses that arrived during a suspension of this process may still be unread.
             unresponsiveAttempts.detect(this::onUnresponsiveAttempt, nowUs);
         }
         queue.dispatch(MAX_FAILED_KEYED_PICKS_PER_TIMER, nowUs);
--- a/src/test/java/loadbalancer/policy/ServiceQMechanismTest.java
+++ b/src/test/java/loadbalancer/policy/ServiceQMechanismTest.java
@@ -61,7 +61,8 @@
         LoadBalancerFixture instance = new LoadBalancerFixture().withEndpoints(5);
         long id = instance.sendRequest(LoadBalancerFixture.IDEMPOTENT);
         for (int i = 0; i < 3; i++) {
-            int failedNumber = Integer.parseInt(instance.lastAttempt(id).endpointId().substring(1));
+            int failedNumber =
+                    Integer.parseInt(instance.lastAttempt(id).endpointId().substring(1));
             instance.completeLastAttempt(id, AttemptResult.ERROR, 1_000);
             assertEquals("s" + (failedNumber + 1) % 5, instance.lastAttempt(id).endpointId());
         }
