--- a/src/main/java/loadbalancer/policy/EndpointListKind.java
+++ b/src/main/java/loadbalancer/policy/EndpointListKind.java
@@ -5,7 +5,7 @@
     /** Only the entries that have changed. */
     CHANGES,
     /** All entries. */
-    FULL,
+    COMPLETE,
     /** All entries as this instance last knew them, possibly out of date; reported once, when the instance starts. */
     CACHED
 }
--- a/src/main/java/loadbalancer/policy/LoadBalancer.java
+++ b/src/main/java/loadbalancer/policy/LoadBalancer.java
@@ -13,7 +13,7 @@
 public interface LoadBalancer {
 
     /**
-     * Reports an endpoint list or changes of it. An endpoint that is missing from a {@link EndpointListKind#FULL} list
+     * Reports an endpoint list or changes of it. An endpoint that is missing from a {@link EndpointListKind#COMPLETE} list
      * has been removed.
      */
     void onEndpointList(long nowUs, EndpointListKind kind, List<EndpointListEntry> entries);
--- a/src/main/java/loadbalancer/simulator/SimulatorSession.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorSession.java
@@ -221,7 +221,7 @@
         EndpointListKind listKind =
                 switch (kind) {
                     case "patch" -> EndpointListKind.CHANGES;
-                    case "whole" -> EndpointListKind.FULL;
+                    case "whole" -> EndpointListKind.COMPLETE;
                     case "stale_copy" -> EndpointListKind.CACHED;
                     default -> throw line.bad("kind", "is unknown: " + kind);
                 };
--- a/src/test/java/loadbalancer/policy/AdmissionTest.java
+++ b/src/test/java/loadbalancer/policy/AdmissionTest.java
@@ -178,7 +178,7 @@
         for (int i = 0; i < 40; i++) {
             instance.sendAndComplete(LoadBalancerFixture.NON_IDEMPOTENT, AttemptResult.OK, usualLatencyUs);
         }
-        instance.receiveEndpointList(EndpointListKind.FULL, List.of());
+        instance.receiveEndpointList(EndpointListKind.COMPLETE, List.of());
         long id = instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
         instance.advance(queuedForUs);
         assertFalse(instance.rejected.contains(id));
--- a/src/test/java/loadbalancer/policy/AttemptRulesTest.java
+++ b/src/test/java/loadbalancer/policy/AttemptRulesTest.java
@@ -216,9 +216,9 @@
     }
 
     @Test
-    void anEndpointMissingFromAFullListIsRemoved() {
+    void anEndpointMissingFromACompleteListIsRemoved() {
         LoadBalancerFixture instance = new LoadBalancerFixture().withEndpoints(2);
-        instance.receiveEndpointList(EndpointListKind.FULL, List.of(LoadBalancerFixture.readyEndpoint("s1")));
+        instance.receiveEndpointList(EndpointListKind.COMPLETE, List.of(LoadBalancerFixture.readyEndpoint("s1")));
         for (int i = 0; i < 20; i++) {
             assertEquals("s1", instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 1_000));
         }
--- a/src/test/java/loadbalancer/policy/EndpointRegistryTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointRegistryTest.java
@@ -53,7 +53,7 @@
 
     @Test
     void changesAddAndRemoveEndpointsInListOrder() {
-        update(EndpointListKind.FULL, ready("a"), ready("b"));
+        update(EndpointListKind.COMPLETE, ready("a"), ready("b"));
         update(EndpointListKind.CHANGES, ready("c"), entry("a", EndpointState.REMOVED, 0));
         assertEquals(List.of("b", "c"), listedIds());
         update(EndpointListKind.CHANGES, ready("a"));
@@ -62,18 +62,18 @@
 
     @Test
     void drainingEndpointsStayListed() {
-        update(EndpointListKind.FULL, ready("a"));
+        update(EndpointListKind.COMPLETE, ready("a"));
         update(EndpointListKind.CHANGES, entry("a", EndpointState.DRAINING, 0));
         assertEquals(List.of("a"), listedIds());
         assertEquals(EndpointState.DRAINING, registry.listed().get(0).state());
     }
 
     @Test
-    void aFullListRemovesMissingEndpointsAndKeepsTheStateOfListedOnes() {
-        update(EndpointListKind.FULL, ready("a"), ready("b"));
+    void aCompleteListRemovesMissingEndpointsAndKeepsTheStateOfListedOnes() {
+        update(EndpointListKind.COMPLETE, ready("a"), ready("b"));
         Endpoint removed = registry.listed().get(0);
         Endpoint kept = registry.listed().get(1);
-        update(EndpointListKind.FULL, ready("c"), ready("b"));
+        update(EndpointListKind.COMPLETE, ready("c"), ready("b"));
         assertEquals(List.of("c", "b"), listedIds());
         assertSame(kept, registry.listed().get(1));
         assertEquals(EndpointState.REMOVED, removed.state());
@@ -81,10 +81,10 @@
 
     @Test
     void removedEndpointsAreForgottenOnceTheyHaveNoAttemptInFlight() {
-        update(EndpointListKind.FULL, ready("a"), ready("b"));
+        update(EndpointListKind.COMPLETE, ready("a"), ready("b"));
         Endpoint busy = registry.listed().get(0);
         busy.concurrency().increment();
-        update(EndpointListKind.FULL);
+        update(EndpointListKind.COMPLETE);
         registry.forgetRemoved();
         assertEquals(1, registry.size());
         busy.concurrency().decrement();
@@ -96,7 +96,7 @@
 
     @Test
     void aNewIncarnationStartsWithoutErrorsEjectionAndLimit() {
-        update(EndpointListKind.FULL, entry("a", EndpointState.READY, 500));
+        update(EndpointListKind.COMPLETE, entry("a", EndpointState.READY, 500));
         Endpoint endpoint = registry.listed().get(0);
         endpoint.setErrorCount(3);
         endpoint.health().eject(1, 1);
@@ -119,20 +119,20 @@
                 entry("future", EndpointState.READY, NOW_US + 300));
         assertEquals(NOW_US - 300, registry.listed().get(0).warmingUpSinceUs());
         assertEquals(NOW_US, registry.listed().get(1).warmingUpSinceUs());
-        update(EndpointListKind.FULL, entry("restarted", EndpointState.READY, NOW_US - 200));
+        update(EndpointListKind.COMPLETE, entry("restarted", EndpointState.READY, NOW_US - 200));
         assertEquals(NOW_US - 200, registry.listed().get(0).warmingUpSinceUs());
     }
 
     @Test
     void warmingUpStartsAtTheNotificationInALaterList() {
-        update(EndpointListKind.FULL, ready("a"));
+        update(EndpointListKind.COMPLETE, ready("a"));
         update(EndpointListKind.CHANGES, entry("a", EndpointState.READY, NOW_US - 300));
         assertEquals(NOW_US, registry.listed().get(0).warmingUpSinceUs());
     }
 
     @Test
     void anEntryWithoutAStartTimeDoesNotBeginANewIncarnation() {
-        update(EndpointListKind.FULL, entry("a", EndpointState.READY, 500));
+        update(EndpointListKind.COMPLETE, entry("a", EndpointState.READY, 500));
         update(EndpointListKind.CHANGES, ready("a"));
         assertEquals(500, registry.listed().get(0).incarnationStartedAtUs());
     }
--- a/src/test/java/loadbalancer/policy/KeyAffinityTest.java
+++ b/src/test/java/loadbalancer/policy/KeyAffinityTest.java
@@ -113,7 +113,7 @@
         for (int i = 0;
                 i < KEYS && !serve(instance, "x" + i, AttemptResult.ERROR).equals("s3");
                 i++) {
-            instance.receiveEndpointList(EndpointListKind.FULL, List.of());
+            instance.receiveEndpointList(EndpointListKind.COMPLETE, List.of());
             instance.withEndpoints(ENDPOINTS);
         }
         long unmoved = 0;
--- a/src/test/java/loadbalancer/policy/OutlierDetectionTest.java
+++ b/src/test/java/loadbalancer/policy/OutlierDetectionTest.java
@@ -202,7 +202,7 @@
         for (int i = 0; i < 4; i++) {
             assertNotNull(instance.lastAttempt(instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT)));
         }
-        instance.receiveEndpointList(EndpointListKind.FULL, List.of(LoadBalancerFixture.readyEndpoint("other")));
+        instance.receiveEndpointList(EndpointListKind.COMPLETE, List.of(LoadBalancerFixture.readyEndpoint("other")));
         for (int i = 0; i < 3; i++) {
             LoadBalancerFixture.StartedAttempt attempt =
                     instance.lastAttempt(instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT));
--- a/src/test/java/loadbalancer/policy/RuleCheckingCaller.java
+++ b/src/test/java/loadbalancer/policy/RuleCheckingCaller.java
@@ -169,14 +169,14 @@
                 changes.add(entry);
             }
         }
-        boolean full = random.nextInt(6) == 0;
-        if (full) {
+        boolean complete = random.nextInt(6) == 0;
+        if (complete) {
             changes.removeIf(entry -> entry.state() == EndpointState.REMOVED);
             endpoints.replaceAll((id, entry) -> new EndpointListEntry(
                     id, entry.zone(), entry.cell(), EndpointState.REMOVED, 1, entry.startedAtUs()));
         }
         changes.forEach(entry -> endpoints.put(entry.id(), entry));
-        loadBalancer.onEndpointList(nowUs, full ? EndpointListKind.FULL : EndpointListKind.CHANGES, changes);
+        loadBalancer.onEndpointList(nowUs, complete ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES, changes);
     }
 
     private EndpointListEntry drawEntry() {
--- a/src/test/java/loadbalancer/policy/SlowStartTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartTest.java
@@ -54,7 +54,7 @@
         instance.nowUs = 10_000_000_000L;
         instance.withEndpoints(3);
         instance.receiveEndpointList(
-                EndpointListKind.FULL,
+                EndpointListKind.COMPLETE,
                 List.of(
                         LoadBalancerFixture.readyEndpoint("s0"),
                         LoadBalancerFixture.readyEndpoint("s1"),
