--- a/src/main/java/loadbalancer/policy/AttemptDispatcher.java
+++ b/src/main/java/loadbalancer/policy/AttemptDispatcher.java
@@ -63,7 +63,7 @@
 
     @Override
     public Endpoint selectEndpoint(PendingRequest request, long nowUs) {
-        return selector.selectFirstEndpoint(request, nowUs);
+        return selector.selectEndpoint(request, nowUs);
     }
 
     @Override
@@ -138,11 +138,11 @@
                 }
             }
         }
-        removeIfDone(request);
+        removeIfPossible(request);
     }
 
     /** Removes a request that is finished and has no attempt in flight. */
-    void removeIfDone(PendingRequest request) {
+    void removeIfPossible(PendingRequest request) {
         if (request.isDone()) {
             pendingRequests.remove(request.id());
         }
--- a/src/main/java/loadbalancer/policy/EndpointSelector.java
+++ b/src/main/java/loadbalancer/policy/EndpointSelector.java
@@ -49,7 +49,7 @@
     }
 
     /** Returns an endpoint for a request without attempts in flight, or null if none may take it. */
-    Endpoint selectFirstEndpoint(PendingRequest request, long nowUs) {
+    Endpoint selectEndpoint(PendingRequest request, long nowUs) {
         if (outlierDetector.hasEjectedEndpoints()) {
             Endpoint probation = outlierDetector.findProbationEndpoint(
                     request, endpoint -> filter.isPermitted(request, endpoint, nowUs), nowUs);
--- a/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
+++ b/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
@@ -160,7 +160,7 @@
         // A new request waits behind those in the queue. One with a key need not: the queued requests may wait for
         // other endpoints than those of its key.
         boolean mayStart = nowUs < request.deadlineAtUs() && (queue.isEmpty() || request.hasKeyAffinity());
-        Endpoint endpoint = mayStart ? selector.selectFirstEndpoint(request, nowUs) : null;
+        Endpoint endpoint = mayStart ? selector.selectEndpoint(request, nowUs) : null;
         if (endpoint != null) {
             dispatcher.startAttempt(request, endpoint, nowUs);
         } else {
@@ -185,7 +185,7 @@
         } else if (!request.isFinished() && request.inFlight() == 0) {
             dispatcher.retryOrFinish(request, attempt.endpoint(), queue, nowUs);
         }
-        dispatcher.removeIfDone(request);
+        dispatcher.removeIfPossible(request);
         queue.dispatch(MAX_FAILED_KEYED_PICKS_PER_EVENT, nowUs);
         scheduleTimer(nowUs);
     }
--- a/src/test/java/loadbalancer/policy/AttemptDispatcherTest.java
+++ b/src/test/java/loadbalancer/policy/AttemptDispatcherTest.java
@@ -144,7 +144,7 @@
         assertEquals(List.of(request.id() + "/0"), actions.cancelledAttempts);
         assertSame(request, dispatcher.find(request.id()));
         request.endAttempt(request.attempt(0), AttemptResult.CANCELLED);
-        dispatcher.removeIfDone(request);
+        dispatcher.removeIfPossible(request);
         assertNull(dispatcher.find(request.id()));
     }
 
--- a/src/test/java/loadbalancer/policy/EndpointSelectorTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointSelectorTest.java
@@ -67,8 +67,8 @@
     void anEjectedEndpointIsSelectedOnceItsProbationIsDue() {
         parts.eject(endpoint);
         long probationAtUs = endpoint.health().probationAtUs();
-        assertSame(endpoints[1], parts.selector.selectFirstEndpoint(request, probationAtUs - 1));
-        assertSame(endpoint, parts.selector.selectFirstEndpoint(request, probationAtUs));
+        assertSame(endpoints[1], parts.selector.selectEndpoint(request, probationAtUs - 1));
+        assertSame(endpoint, parts.selector.selectEndpoint(request, probationAtUs));
     }
 
     @Test
