--- a/src/main/java/loadbalancer/policy/LoadBalancer.java
+++ b/src/main/java/loadbalancer/policy/LoadBalancer.java
@@ -12,19 +12,16 @@
  */
 public interface LoadBalancer {
 
-    /**
-     * Reports an endpoint list or changes of it. An endpoint that is missing from a {@link EndpointListKind#COMPLETE} list
-     * has been removed.
-     */
+    /** Reports an endpoint list or changes of it. An endpoint that is missing from a complete list has been removed. */
     void onEndpointList(long nowUs, EndpointListKind kind, List<EndpointListEntry> entries);
 
     /** Reports that a request for the endpoint list failed or its watch broke. The known list stays in use. */
     void onEndpointListFailed(long nowUs);
 
     /**
-     * Reports a new expiry of the lease on the endpoint list. Without a lease, no attempt starts, and requests that have
-     * no attempt in flight get a final response: a rejection where the client may safely retry, else a failure. Until
-     * the first call of this method, the lease does not expire.
+     * Reports a new expiry of the lease on the endpoint list. Without a lease, no attempt starts, and requests that
+     * have no attempt in flight get a final response: a rejection where the client may safely retry, else a failure.
+     * Until the first call of this method, the lease does not expire.
      */
     void onLeaseChanged(long nowUs, long expiresAtUs);
 
