--- a/src/main/java/loadbalancer/policy/AttemptDispatcher.java
+++ b/src/main/java/loadbalancer/policy/AttemptDispatcher.java
@@ -58,7 +58,7 @@
 
     @Override
     public boolean mayRetry(PendingRequest request, long nowUs) {
-        return lease.isHeld(nowUs) && retryRules.mayRetry(request, nowUs);
+        return lease.isValid(nowUs) && retryRules.mayRetry(request, nowUs);
     }
 
     @Override
--- a/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
+++ b/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
@@ -149,7 +149,7 @@
     }
 
     private boolean isAdmitted(PendingRequest request, long nowUs) {
-        if (!lease.isHeld(nowUs)) {
+        if (!lease.isValid(nowUs)) {
             lease.onRequestRejected();
             return false;
         }
