--- a/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
+++ b/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
@@ -113,7 +113,7 @@
     @Override
     public void onEndpointListFailed(long nowUs) {
         if (settings.endpointListPolled) {
-            poller.onFailed(nowUs);
+            poller.onPollFailed(nowUs);
             scheduleTimer(nowUs);
         }
     }
--- a/src/main/java/loadbalancer/policy/discovery/EndpointListPoller.java
+++ b/src/main/java/loadbalancer/policy/discovery/EndpointListPoller.java
@@ -39,7 +39,7 @@
     }
 
     /** A poll has failed, or the watch that it had become. */
-    public void onFailed(long nowUs) {
+    public void onPollFailed(long nowUs) {
         nextPollUs = nowUs + backoff.nextWaitUs(random);
     }
 
