--- a/src/main/java/loadbalancer/proxy/config/ProxyConfiguration.java
+++ b/src/main/java/loadbalancer/proxy/config/ProxyConfiguration.java
@@ -53,13 +53,13 @@
     }
 
     /** The configuration of an instance for warm-up: it listens on any free port and has these endpoints, no discovery. */
-    public ProxyConfiguration isolated(EndpointList endpoints) {
-        LoadBalancerSettings isolatedSettings = new LoadBalancerSettings();
-        isolatedSettings.zones.addAll(settings.zones);
-        isolatedSettings.classes.addAll(settings.classes);
-        isolatedSettings.tenants.addAll(settings.tenants);
-        isolatedSettings.maxAttempts = settings.maxAttempts;
-        isolatedSettings.cancellationEnabled = settings.cancellationEnabled;
+    public ProxyConfiguration forStartUpWarmUp(EndpointList endpoints) {
+        LoadBalancerSettings warmUpSettings = new LoadBalancerSettings();
+        warmUpSettings.zones.addAll(settings.zones);
+        warmUpSettings.classes.addAll(settings.classes);
+        warmUpSettings.tenants.addAll(settings.tenants);
+        warmUpSettings.maxAttempts = settings.maxAttempts;
+        warmUpSettings.cancellationEnabled = settings.cancellationEnabled;
         return new ProxyConfiguration(
                 new InetSocketAddress(listen.getAddress(), 0),
                 null,
@@ -67,7 +67,7 @@
                 maxDescriptors,
                 upstreamIdleTimeoutUs,
                 endpoints,
-                isolatedSettings);
+                warmUpSettings);
     }
 
     /**
--- a/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
@@ -111,7 +111,7 @@
         EndpointList.AddressedEndpoint host = new EndpointList.AddressedEndpoint(
                 new EndpointListEntry("rehearsal", 0, 0, EndpointState.READY, 1, 0),
                 (InetSocketAddress) server.localAddress());
-        ProxyNode node = new ProxyNode(config.isolated(new EndpointList(0, true, List.of(host))), loop);
+        ProxyNode node = new ProxyNode(config.forStartUpWarmUp(new EndpointList(0, true, List.of(host))), loop);
         SocketAddress listening = node.start().syncUninterruptibly().getNow();
         Bootstrap client = new Bootstrap()
                 .group(loop)
