--- a/src/main/java/loadbalancer/proxy/downstream/ClientRequestParser.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientRequestParser.java
@@ -96,7 +96,7 @@
                 tenant == null ? NO_TENANT : tenantIndexes.getOrDefault(tenant, NO_TENANT),
                 parseRemainingUs(requiredHeader(head, HttpProtocol.REMAINING_TIME_HEADER)),
                 parseEstimatedWorkUs(optionalHeader(head, HttpProtocol.ESTIMATED_WORK_HEADER)),
-                HttpProtocol.MARKED.equals(optionalHeader(head, HttpProtocol.CLIENT_RETRY_HEADER)),
+                HttpProtocol.FLAG_SET.equals(optionalHeader(head, HttpProtocol.CLIENT_RETRY_HEADER)),
                 key.isEmpty() ? null : key);
     }
 
--- a/src/main/java/loadbalancer/proxy/protocol/HttpProtocol.java
+++ b/src/main/java/loadbalancer/proxy/protocol/HttpProtocol.java
@@ -26,17 +26,17 @@
     /** A client's estimate of the work of a request, in microseconds; optional. */
     public static final String ESTIMATED_WORK_HEADER = "X-Estimate";
 
-    /** {@link #MARKED} if a request is a client's retry of an earlier request; optional. */
+    /** {@link #FLAG_SET} if a request is a client's retry of an earlier request; optional. */
     public static final String CLIENT_RETRY_HEADER = "X-Resent";
 
     /** The idempotency key of a request whose class has idempotency keys. */
     public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
 
-    /** {@link #MARKED} in a response if the endpoint rejected the request without executing it. */
+    /** {@link #FLAG_SET} in a response if the endpoint rejected the request without executing it. */
     public static final String REJECTED_HEADER = "X-Turned-Away";
 
     /** The value of {@link #CLIENT_RETRY_HEADER} and {@link #REJECTED_HEADER}. */
-    public static final String MARKED = "1";
+    public static final String FLAG_SET = "1";
 
     /** Paths that begin with it are forwarded to endpoints, as is the same path without the last slash. */
     public static final String API_PATH_PREFIX = "/api/";
