--- a/src/main/java/loadbalancer/proxy/config/EndpointList.java
+++ b/src/main/java/loadbalancer/proxy/config/EndpointList.java
@@ -11,10 +11,10 @@
  * An endpoint list of discovery, or the changes since an earlier one.
  *
  * @param version increases with each change, unless discovery restarts its versions
- * @param complete whether it holds all endpoints or only those that changed
+ * @param isComplete whether it holds all endpoints or only those that changed
  * @param endpoints its entries, in order
  */
-public record EndpointList(long version, boolean complete, List<AddressedEndpoint> endpoints) {
+public record EndpointList(long version, boolean isComplete, List<AddressedEndpoint> endpoints) {
     private static final int MAX_LOGGED_IDS = 16;
 
     /**
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryCallLog.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryCallLog.java
@@ -78,7 +78,7 @@
 
     /** A list was applied, or dropped because of its version. */
     void onList(EndpointList list, boolean isApplied, long currentVersion) {
-        if (list.endpoints().isEmpty() && !list.complete()) {
+        if (list.endpoints().isEmpty() && !list.isComplete()) {
             return;
         }
         EventLog.event(LogEvent.named("endpoint_list")
@@ -86,7 +86,7 @@
                 .with("call", call.number())
                 .with("version", list.version())
                 .with("current_version", currentVersion)
-                .with("complete", list.complete())
+                .with("complete", list.isComplete())
                 .with("entries", list.endpoints().size())
                 .with("unavailable", list.unavailableIds()));
     }
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListVersion.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListVersion.java
@@ -50,7 +50,7 @@
      * @return whether the list can be applied
      */
     boolean accept(EndpointList list, boolean isFirstMessage) {
-        if (isComparable() && list.version() < number && !(isFirstMessage && list.complete())) {
+        if (isComparable() && list.version() < number && !(isFirstMessage && list.isComplete())) {
             state = State.OUTDATED;
             return false;
         }
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
@@ -140,7 +140,7 @@
                 new DiscoveryClient.Listener() {
                     @Override
                     public void onEndpointList(EndpointList list) {
-                        list(list, list.complete() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES);
+                        list(list, list.isComplete() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES);
                     }
 
                     @Override
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -76,10 +76,10 @@
 
     /** Follows the list. Word of a drain takes effect at once, also for what awaits a connection. */
     public void onEndpointList(EndpointList list) {
-        Map<String, UpstreamEndpoint> missing = list.complete() ? new HashMap<>(upstreams) : Map.of();
+        Map<String, UpstreamEndpoint> missing = list.isComplete() ? new HashMap<>(upstreams) : Map.of();
         for (EndpointList.AddressedEndpoint host : list.endpoints()) {
             String id = host.entry().id();
-            if (list.complete()) {
+            if (list.isComplete()) {
                 missing.remove(id);
             }
             if (host.entry().state() == EndpointState.REMOVED) {
--- a/src/test/java/loadbalancer/proxy/discovery/RecordedDiscovery.java
+++ b/src/test/java/loadbalancer/proxy/discovery/RecordedDiscovery.java
@@ -58,7 +58,7 @@
     @Override
     public void onEndpointList(EndpointList list) {
         events.add(list.version()
-                + (list.complete() ? " complete " : " changes ")
+                + (list.isComplete() ? " complete " : " changes ")
                 + list.endpoints().size());
     }
 
