--- a/src/main/java/loadbalancer/policy/discovery/DiscoveryBackoff.java
+++ b/src/main/java/loadbalancer/policy/discovery/DiscoveryBackoff.java
@@ -3,18 +3,19 @@
 import java.util.SplittableRandom;
 
 /**
- * The delay before discovery is called again after a call has failed or a watch has ended.
+ * The random delay before the next call to discovery, after a call has failed or a watch has ended.
  *
- * <p>Delays are drawn uniformly from a range that grows with the number of instances, so that instances whose calls fail
- * together neither call together again nor more often than discovery can serve them. The range does not grow with failures:
- * the delay and the call after it have to fit into {@link #NOTIFICATION_BUDGET_US}. After a call that succeeded the delay
- * is short, as part of the budget may have passed without a message.
+ * <p>The delay is uniformly distributed over a range that grows with the number of instances. Instances whose calls
+ * fail at the same time therefore spread their next calls over a time in which discovery can serve them. The range does
+ * not grow with repeated failures, because the delay and the call after it must fit into
+ * {@link #NOTIFICATION_BUDGET_US}. The delay after a successful call is short, because part of the budget may already
+ * have passed without a message.
  */
 public final class DiscoveryBackoff {
-    /** By the protocol, a change of the endpoint list counts as notified so long after discovery had it. */
+    /** The protocol counts a change of the endpoint list as notified this long after discovery received it. */
     public static final long NOTIFICATION_BUDGET_US = 6_000_000;
 
-    /** The longest delay; the rest of the budget is for the call, which may be queued. */
+    /** The maximum delay. The rest of the budget is for the call, which discovery may queue. */
     public static final long MAX_DELAY_US = 3_700_000;
 
     private static final long DELAY_PER_INSTANCE_US = 40_000;
@@ -22,35 +23,40 @@
     private static final long MIN_DELAY_AFTER_SUCCESS_US = 125_000;
     private static final long MAX_DELAY_AFTER_SUCCESS_US = 375_000;
 
-    /** The longest delay fits so often into the poll interval. */
+    /** The maximum delay is at most the poll interval divided by this number. */
     private static final int DELAYS_PER_POLL_INTERVAL = 2;
 
     private final long maxDelayUs;
     private boolean lastCallSucceeded;
 
-    /** Creates the backoff of one of so many instances, with the poll interval of the settings. */
+    /**
+     * Creates the backoff of one instance.
+     *
+     * @param instances the number of instances in the fleet
+     * @param pollIntervalUs the poll interval of the settings
+     */
     public DiscoveryBackoff(int instances, long pollIntervalUs) {
         long spreadUs = Math.max(MAX_DELAY_AFTER_SUCCESS_US, instances * DELAY_PER_INSTANCE_US);
         long boundUs = Math.min(Math.min(MAX_DELAY_US, spreadUs), pollIntervalUs / DELAYS_PER_POLL_INTERVAL);
         maxDelayUs = Math.max(1, boundUs);
     }
 
-    /** Discovery has sent a list. */
-    public void succeeded() {
+    /** Makes the next delay a short one, because discovery has sent an endpoint list. */
+    public void onListReceived() {
         lastCallSucceeded = true;
     }
 
-    /** Draws the delay after a call that has failed or a watch that has ended. */
-    public long nextWaitUs(SplittableRandom random) {
+    /** Returns a random delay before the call that follows a failed call or an ended watch. */
+    public long nextDelayUs(SplittableRandom random) {
         boolean isAfterSuccess = lastCallSucceeded;
         lastCallSucceeded = false;
         return isAfterSuccess
-                ? uniform(random, MIN_DELAY_AFTER_SUCCESS_US, MAX_DELAY_AFTER_SUCCESS_US)
-                : uniform(random, MIN_DELAY_US, maxDelayUs);
+                ? uniformDelayUs(random, MIN_DELAY_AFTER_SUCCESS_US, MAX_DELAY_AFTER_SUCCESS_US)
+                : uniformDelayUs(random, MIN_DELAY_US, maxDelayUs);
     }
 
-    private long uniform(SplittableRandom random, long minUs, long maxUs) {
-        long leastUs = Math.min(minUs, maxDelayUs);
-        return leastUs + random.nextLong(Math.min(maxUs, maxDelayUs) - leastUs + 1);
+    private long uniformDelayUs(SplittableRandom random, long minUs, long maxUs) {
+        long boundedMinUs = Math.min(minUs, maxDelayUs);
+        return boundedMinUs + random.nextLong(Math.min(maxUs, maxDelayUs) - boundedMinUs + 1);
     }
 }
--- a/src/main/java/loadbalancer/policy/discovery/DiscoveryCallActions.java
+++ b/src/main/java/loadbalancer/policy/discovery/DiscoveryCallActions.java
@@ -1,10 +1,14 @@
 package loadbalancer.policy.discovery;
 
-/** What {@link DiscoveryCallScheduler} has done on the network. */
+/** The network operations that {@link DiscoveryCallScheduler} requests. */
 public interface DiscoveryCallActions {
-    /** Opens a call. */
+    /** Opens a connection to discovery and requests a watch on it. */
     void open(DiscoveryCallId call);
 
-    /** Closes a call. Its end is not reported to the scheduler. */
+    /**
+     * Closes a call. The end of the call is not reported to the scheduler.
+     *
+     * @param reason why the scheduler closes the call, for the log
+     */
     void close(DiscoveryCallId call, String reason);
 }
--- a/src/main/java/loadbalancer/policy/discovery/DiscoveryCallId.java
+++ b/src/main/java/loadbalancer/policy/discovery/DiscoveryCallId.java
@@ -3,7 +3,7 @@
 /**
  * Identifies a call to discovery.
  *
- * @param number unique within a process and never reused
+ * @param number unique within a process; never reused
  */
 public record DiscoveryCallId(long number) {
     DiscoveryCallId next() {
--- a/src/main/java/loadbalancer/policy/discovery/DiscoveryCallOutcome.java
+++ b/src/main/java/loadbalancer/policy/discovery/DiscoveryCallOutcome.java
@@ -1,11 +1,11 @@
 package loadbalancer.policy.discovery;
 
-/** How a call to discovery, or the watch that it has become, has ended. */
+/** The way in which a call to discovery ended, either before its first message or as a watch. */
 public enum DiscoveryCallOutcome {
-    /** Discovery has completed the response. */
+    /** Discovery completed the response, or closed the connection without an error. */
     COMPLETED,
-    /** The call was rejected or reset, or its response was malformed. */
+    /** The call was rejected or reset, its response was malformed, or connecting failed without a refusal. */
     FAILED,
-    /** The address of discovery has refused the connection, so that nothing can have been sent. */
+    /** The address of discovery refused the connection, so discovery cannot have sent anything. */
     CONNECTION_REFUSED
 }
--- a/src/main/java/loadbalancer/policy/discovery/DiscoveryCallScheduler.java
+++ b/src/main/java/loadbalancer/policy/discovery/DiscoveryCallScheduler.java
@@ -5,27 +5,29 @@
 import java.util.Set;
 
 /**
- * Decides when the proxy calls discovery and which of its calls stay open. A call requests all changes since the last
- * endpoint list; the first call with a message becomes the watch, on which later changes arrive.
+ * Decides when the proxy calls discovery and which calls stay open. A call requests all changes since the last endpoint
+ * list. The first call that receives a message becomes the watch, on which later changes arrive.
  *
- * <p>Whether requests may be routed meanwhile is decided by {@link EndpointListLease}, to which the scheduler passes each
- * event. No call therefore has to succeed within a time limit; calls are scheduled for a short time without a lease and a
- * low load on discovery. Discovery serves calls in turn, spends time on rejected calls too, and is overloaded if many
- * instances call together. Hence the delay of calls grows with the number of instances and with repeated failures, and a
- * call that may be queued stays open beside the next one.
+ * <p>The scheduler passes each event to {@link EndpointListLease}, which decides whether requests may be routed. No
+ * call therefore has to succeed within a time limit. The schedule is a compromise between a short time without a lease
+ * and a low load on discovery. Discovery serves one call after another, spends time on rejected calls too, and is
+ * overloaded if many instances call at the same time. For this reason the delay before a call grows with the number of
+ * instances and with repeated failures, and a call that discovery may have queued stays open while the next one is
+ * opened.
  *
- * <p>An unresponsive watch stays open until another call has a message, and a watch at a previous address until the new
- * address has sent one. At most {@value #MAX_PENDING_CALLS} calls wait for their first message.
+ * <p>An unresponsive watch stays open until another call receives a message. A watch at a previous address of discovery
+ * stays open until a call to the new address receives one. At most {@value #MAX_PENDING_CALLS} calls wait for their
+ * first message.
  *
  * <p>All times are microseconds of the proxy's clock.
  */
 public final class DiscoveryCallScheduler {
-    /** The value of {@link #nextTimerUs} if no timer is due until an event is reported. */
+    /** The value of {@link #nextTimerUs} if no timer is needed until the next event. */
     public static final long NEVER = Long.MAX_VALUE;
 
     private static final int MAX_PENDING_CALLS = 3;
 
-    /** The part of a lease that remains for the call that is to renew it. */
+    /** The time that is reserved at the end of a valid lease for the call that renews it. */
     private static final long LEASE_RENEWAL_MARGIN_US = 1_000_000;
 
     private static final int FAILURES_BEFORE_DOUBLING = 5;
@@ -37,19 +39,21 @@
     private final EndpointListLease lease;
     private final DiscoveryCallActions actions;
 
-    /** Calls without a message so far, the oldest first. */
+    /** The open calls that have not received a message, oldest first. */
     private final Set<DiscoveryCallId> pendingCalls = new LinkedHashSet<>();
 
     private DiscoveryCallId lastCall = new DiscoveryCallId(0);
-    /** The call on which changes arrive, or null. */
+    /** The call on which changes of the endpoint list arrive, or null. */
     private DiscoveryCallId watch;
-    /** The watch at the previous address of discovery until the new address has sent a message, or null. */
+    /**
+     * The watch at the previous address of discovery, until the new address has sent a message; null if there is none.
+     */
     private DiscoveryCallId previousAddressWatch;
 
     private long nextCallAtUs = NEVER;
     private int failuresSinceConfirmation;
 
-    /** Creates a scheduler that makes no call before {@link #start}. */
+    /** Creates a scheduler that opens no call before {@link #start}. */
     public DiscoveryCallScheduler(
             DiscoveryCallTiming timing, Jitter jitter, EndpointListLease lease, DiscoveryCallActions actions) {
         this.timing = timing;
@@ -58,25 +62,27 @@
         this.actions = actions;
     }
 
-    /** When {@link #onTimer} is due, or {@link #NEVER}. */
+    /** Returns the time at which {@link #onTimer} is due, or {@link #NEVER}. */
     public long nextTimerUs() {
         return nextCallAtUs;
     }
 
-    /** Schedules the first call, which may be opened at once. */
+    /** Schedules the first call, and opens it immediately if its delay is 0. */
     public void start(long nowUs) {
         nextCallAtUs = nowUs + jitter.between(0, timing.maxInitialDelayUs());
         onTimer(nowUs);
     }
 
     /**
-     * Discovery has another address. The watch at the previous address stays open until the new one has sent a message.
+     * Schedules a call to the new address of discovery. The watch at the previous address stays open until the new
+     * address has sent a message.
      *
-     * @param signalledAtUs when the move was signalled, which may be earlier than now
+     * @param signalledAtUs when the process received the signal to reload its configuration, which may be before 
+     *     {@code nowUs}
      */
     public void onDiscoveryMoved(long nowUs, long signalledAtUs) {
         lease.onDiscoveryMoved(signalledAtUs);
-        closePendingCalls("discovery has moved");
+        closePendingCalls("discovery has another address");
         if (watch != null) {
             closePreviousAddressWatch();
             previousAddressWatch = watch;
@@ -86,7 +92,7 @@
         onTimer(nowUs);
     }
 
-    /** A call has received a message: a list, or a heartbeat that confirms the current one. */
+    /** Handles a message on a call: an endpoint list, or a heartbeat that confirms the current list. */
     public void onMessage(long nowUs, DiscoveryCallId call) {
         if (call.equals(previousAddressWatch)) {
             return;
@@ -94,7 +100,7 @@
         if (!call.equals(watch)) {
             replaceWatch(call);
         }
-        closePendingCalls("the watch has sent a message");
+        closePendingCalls("the watch has received a message");
         scheduleCallAfterTimeout(nowUs);
     }
 
@@ -107,7 +113,9 @@
         closePreviousAddressWatch();
     }
 
-    /** The messages of a call confirm the endpoint list that the proxy has. */
+    /**
+     * Renews the lease after messages of the watch have confirmed the endpoint list of the proxy. Ignores other calls.
+     */
     public void onListConfirmed(long nowUs, DiscoveryCallId call) {
         if (call.equals(watch)) {
             lease.onListConfirmed(nowUs);
@@ -116,18 +124,21 @@
         }
     }
 
-    /** A list has begun to arrive on a call, or has arrived and cannot be used. */
+    /** Limits the lease: an endpoint list has begun to arrive, or has arrived and cannot be used. */
     public void onPartialList(long nowUs) {
         lease.onPartialList(nowUs);
     }
 
-    /** Schedules a call for when the watch is unresponsive; the watches of all instances may be so at the same time. */
+    /**
+     * Schedules the call that is opened if the watch becomes unresponsive. The watches of all instances may become
+     * unresponsive at the same time, so the call has a random delay.
+     */
     private void scheduleCallAfterTimeout(long nowUs) {
         long timeoutAtUs = nowUs + timing.watchTimeoutUs();
         nextCallAtUs = timeoutAtUs + jitter.between(0, maxInitialDelayUs(timeoutAtUs));
     }
 
-    /** A call has ended that the scheduler has not closed. */
+    /** Schedules the next call after a call that the scheduler did not close has ended. */
     public void onCallEnded(long nowUs, DiscoveryCallId call, DiscoveryCallOutcome outcome) {
         updateLease(nowUs, call, outcome);
         if (call.equals(previousAddressWatch)) {
@@ -157,14 +168,17 @@
         return Math.max(0, Math.min(MAX_DELAY_DOUBLINGS, failuresSinceConfirmation - FAILURES_BEFORE_DOUBLING));
     }
 
-    /** Opens a call if {@link #nextTimerUs} has come. */
+    /** Opens a call if the time of {@link #nextTimerUs} has been reached. */
     public void onTimer(long nowUs) {
         if (nowUs >= nextCallAtUs) {
             openCall(nowUs);
         }
     }
 
-    /** The longest delay of calls that instances may make together; it ends in time to renew a valid lease. */
+    /**
+     * Returns the maximum delay of a call that all instances may open at the same time. The delay ends early enough for
+     * the call to renew a valid lease.
+     */
     private long maxInitialDelayUs(long nowUs) {
         if (!lease.isValid(nowUs)) {
             return timing.maxInitialDelayUs();
@@ -181,7 +195,7 @@
         if (pendingCalls.size() == MAX_PENDING_CALLS) {
             DiscoveryCallId oldest = pendingCalls.iterator().next();
             pendingCalls.remove(oldest);
-            actions.close(oldest, "unresponsive");
+            actions.close(oldest, "no message, and too many calls are pending");
         }
         lastCall = lastCall.next();
         pendingCalls.add(lastCall);
@@ -197,7 +211,7 @@
 
     private void closePreviousAddressWatch() {
         if (previousAddressWatch != null) {
-            actions.close(previousAddressWatch, "discovery has moved");
+            actions.close(previousAddressWatch, "discovery has another address");
             previousAddressWatch = null;
         }
     }
--- a/src/main/java/loadbalancer/policy/discovery/DiscoveryCallTiming.java
+++ b/src/main/java/loadbalancer/policy/discovery/DiscoveryCallTiming.java
@@ -5,17 +5,17 @@
 /**
  * The delays between calls to discovery, in microseconds.
  *
- * @param hedgeDelayUs how long a call may stay without a message until another one is opened beside it
- * @param watchTimeoutUs how long a watch may stay without a message until it counts as unresponsive
- * @param maxInitialDelayUs the longest delay of the first call, and of calls after a watch has ended or is unresponsive
- * @param maxRetryDelayUs the longest delay after a failed call, before it is doubled
+ * @param hedgeDelayUs how long a call may go without a message before another call is opened in addition
+ * @param watchTimeoutUs how long a watch may go without a message before it counts as unresponsive
+ * @param maxInitialDelayUs the maximum delay of the first call, and of calls after a watch has ended or is unresponsive
+ * @param maxRetryDelayUs the maximum delay after a failed call, before repeated failures double it
  */
 public record DiscoveryCallTiming(
         long hedgeDelayUs, long watchTimeoutUs, long maxInitialDelayUs, long maxRetryDelayUs) {
-    /** Longer than the 3 s for which discovery queues a call. */
+    /** Discovery queues a call for up to 3 s; the hedge delay is longer. */
     private static final long HEDGE_DELAY_US = 3_300_000;
 
-    /** Longer than the 2 s between the heartbeats of discovery. */
+    /** Discovery sends a heartbeat every 2 s; the timeout is longer. */
     private static final long WATCH_TIMEOUT_US = 2_500_000;
 
     private static final long INITIAL_DELAY_PER_INSTANCE_US = 60_000;
@@ -24,12 +24,12 @@
     private static final long MIN_RETRY_DELAY_BOUND_US = 375_000;
     private static final long MAX_RETRY_DELAY_BOUND_US = 10_000_000;
 
-    /** Half of the drain grace is for the retry delay, half for the list to arrive. */
-    private static final int DRAIN_GRACE_PARTS = 2;
+    /** One half of the drain grace is for the retry delay, the other half for the endpoint list to arrive. */
+    private static final int DRAIN_GRACE_DIVISOR = 2;
 
     private static final long PUSHED_LIST_HEDGE_DELAY_US = 1_000_000;
 
-    /** Derives the delays from the settings. */
+    /** Returns the delays for an endpoint list that is polled or pushed, as the settings say. */
     public static DiscoveryCallTiming of(LoadBalancerSettings settings) {
         return settings.endpointListPolled ? ofPolledList(settings) : ofPushedList(settings);
     }
@@ -42,13 +42,19 @@
         return new DiscoveryCallTiming(HEDGE_DELAY_US, WATCH_TIMEOUT_US, maxInitialDelayUs, maxRetryDelayUs);
     }
 
-    /** An agent pushes lists: its changes count as notified at once, also while no watch is open. */
+    /**
+     * Returns the delays for endpoint lists that an agent pushes. Their changes count as notified immediately, even
+     * while no watch is open, so the first call is not delayed.
+     */
     private static DiscoveryCallTiming ofPushedList(LoadBalancerSettings settings) {
-        long maxRetryDelayUs = Math.max(1, settings.drainGraceUs / DRAIN_GRACE_PARTS);
+        long maxRetryDelayUs = Math.max(1, settings.drainGraceUs / DRAIN_GRACE_DIVISOR);
         return new DiscoveryCallTiming(PUSHED_LIST_HEDGE_DELAY_US, WATCH_TIMEOUT_US, 0, maxRetryDelayUs);
     }
 
-    /** The smallest bound of the delay after a watch has ended, so that discovery is not called without a pause. */
+    /**
+     * Returns the lower limit of the maximum delay after a watch has ended. It is above 0, so that a watch that ends
+     * repeatedly does not make the proxy call discovery without a pause.
+     */
     long minDelayBoundAfterWatchUs() {
         return Math.min(maxRetryDelayUs, MIN_RETRY_DELAY_BOUND_US);
     }
--- a/src/main/java/loadbalancer/policy/discovery/EndpointListLease.java
+++ b/src/main/java/loadbalancer/policy/discovery/EndpointListLease.java
@@ -1,72 +1,77 @@
 package loadbalancer.policy.discovery;
 
 /**
- * The right to route requests by the endpoint list, and the only owner of its expiry.
+ * The right to route requests by the endpoint list. Only this class decides when that right expires.
  *
- * <p>A change of the list counts as notified a fixed time after discovery had it, whether or not it has arrived. The lease
- * therefore expires before a change that may have been missed counts as notified, however many calls to discovery fail.
- * A call that is accepted and then fails does not renew it: discovery was reachable and may have had a change.
+ * <p>A change of the list counts as notified a fixed time after discovery received it, even if it has not arrived at
+ * the proxy. From then on, the proxy has the drain grace to follow the change. The lease therefore expires before the
+ * grace after a change that the proxy may have missed ends, however many calls to discovery fail. A call that discovery
+ * accepts and that then fails does not renew the lease, because discovery was reachable and may have received a change.
  *
  * <p>All times are microseconds of the proxy's clock.
  */
 public final class EndpointListLease {
-    /** The expiry of a lease that was never granted; it is before every time. */
+    /** The expiry of a lease that was never granted; earlier than any time of the clock. */
     public static final long NOT_GRANTED = Long.MIN_VALUE;
 
     private static final long UNLIMITED = Long.MAX_VALUE;
 
-    /** A little longer than the 2 s between heartbeats; discovery may have had a change in a longer gap. */
-    private static final long MAX_PROOF_GAP_US = 2_500_000;
+    /**
+     * The maximum time between two verifications that the list is current, a little longer than the 2 s between
+     * heartbeats. Discovery may have received a change during a longer gap.
+     */
+    private static final long MAX_VERIFICATION_GAP_US = 2_500_000;
 
     private final EndpointListLeaseTerms terms;
     private long expiresAtUs = NOT_GRANTED;
-    /** When discovery was last known to have no change that is not in the list. */
-    private long lastProofAtUs;
-    /** How long a refused connection renews the lease; it depends on how the watch has ended. */
+    /** When discovery was last known to have no change that is missing from the list of the proxy. */
+    private long lastVerifiedAtUs;
+    /** For how long a refused connection renews the lease; depends on how the watch ended. */
     private long refusedConnectionTermUs;
-    /** The latest expiry until discovery confirms a list. */
-    private long latestExpiryUs = UNLIMITED;
+    /** The upper limit of the expiry until discovery confirms a list. */
+    private long maxExpiryUs = UNLIMITED;
 
-    /** Creates a lease that is not granted. */
+    /** Creates a lease that has not been granted. */
     public EndpointListLease(EndpointListLeaseTerms terms) {
         this.terms = terms;
     }
 
-    /** When the lease expires unless it is renewed, or {@link #NOT_GRANTED}. */
+    /** Returns the time at which the lease expires unless it is renewed, or {@link #NOT_GRANTED}. */
     public long expiresAtUs() {
         return expiresAtUs;
     }
 
-    /** Whether requests may be routed by the endpoint list. */
+    /** Returns whether requests may be routed by the endpoint list. */
     public boolean isValid(long nowUs) {
         return nowUs < expiresAtUs;
     }
 
-    /** Renews the lease: discovery has sent a list that was applied, or a heartbeat after one. */
+    /** Renews the lease after discovery has sent a list that was applied, or a heartbeat after such a list. */
     void onListConfirmed(long nowUs) {
-        latestExpiryUs = UNLIMITED;
+        maxExpiryUs = UNLIMITED;
         refusedConnectionTermUs = terms.afterConfirmationUs();
-        lastProofAtUs = nowUs;
+        lastVerifiedAtUs = nowUs;
         expiresAtUs = nowUs + terms.afterConfirmationUs();
     }
 
     /**
-     * Renews a valid lease, as the address of discovery has refused a connection and so cannot have had a change. Only
-     * proofs without a gap renew it, as an earlier change may have been missed otherwise.
+     * Renews a valid lease after the address of discovery has refused a connection, because discovery cannot
+     * have received a change then. The lease is not renewed if the time since the last verification is too long,
+     * because the proxy may have missed a change during that time.
      */
     void onConnectionRefused(long nowUs) {
-        if (isValid(nowUs) && nowUs - lastProofAtUs <= MAX_PROOF_GAP_US) {
-            lastProofAtUs = nowUs;
-            expiresAtUs = Math.min(latestExpiryUs, nowUs + refusedConnectionTermUs);
+        if (isValid(nowUs) && nowUs - lastVerifiedAtUs <= MAX_VERIFICATION_GAP_US) {
+            lastVerifiedAtUs = nowUs;
+            expiresAtUs = Math.min(maxExpiryUs, nowUs + refusedConnectionTermUs);
         }
     }
 
-    /** Shortens the lease: discovery has completed the response of the watch. */
+    /** Shortens the lease after discovery has completed the response of the watch. */
     void onWatchEnded(long nowUs) {
         shortenAfterWatch(nowUs, terms.afterWatchEndUs());
     }
 
-    /** Shortens the lease: the watch was reset. */
+    /** Shortens the lease after the watch was reset. */
     void onWatchReset(long nowUs) {
         shortenAfterWatch(nowUs, terms.afterWatchResetUs());
     }
@@ -76,18 +81,18 @@
         expiresAtUs = Math.min(expiresAtUs, nowUs + termUs);
     }
 
-    /** Limits the lease: a list has begun to arrive, and its changes count as notified. */
+    /** Limits the lease after a list has begun to arrive, because the changes in the list count as notified. */
     void onPartialList(long nowUs) {
         limitExpiry(nowUs + terms.afterPartialListUs());
     }
 
-    /** Limits the lease: a signal has moved discovery to another address, which has to confirm a list. */
+    /** Limits the lease until the new address of discovery confirms a list. */
     void onDiscoveryMoved(long signalledAtUs) {
         limitExpiry(signalledAtUs + terms.afterMoveUs());
     }
 
-    private void limitExpiry(long latestUs) {
-        latestExpiryUs = Math.min(latestExpiryUs, latestUs);
-        expiresAtUs = Math.min(expiresAtUs, latestUs);
+    private void limitExpiry(long limitUs) {
+        maxExpiryUs = Math.min(maxExpiryUs, limitUs);
+        expiresAtUs = Math.min(expiresAtUs, limitUs);
     }
 }
--- a/src/main/java/loadbalancer/policy/discovery/EndpointListPoller.java
+++ b/src/main/java/loadbalancer/policy/discovery/EndpointListPoller.java
@@ -6,9 +6,9 @@
 import loadbalancer.policy.LoadBalancerActions;
 import loadbalancer.policy.LoadBalancerSettings;
 
-/** Where the caller has no watch of its own: decides when the endpoint list is polled. */
+/** Decides when the endpoint list is polled, for a caller that does not keep a watch open by itself. */
 public final class EndpointListPoller {
-    /** {@link #nextPollUs} while no poll is due. */
+    /** The value of {@link #nextPollUs} while no poll is scheduled. */
     public static final long NEVER = Long.MAX_VALUE;
 
     private final LoadBalancerSettings settings;
@@ -17,7 +17,7 @@
     private final DiscoveryBackoff backoff;
     private long nextPollUs = NEVER;
 
-    /** A poller that has not polled yet. */
+    /** Creates a poller without a scheduled poll. */
     public EndpointListPoller(LoadBalancerSettings settings, SplittableRandom random, LoadBalancerActions actions) {
         this.settings = settings;
         this.random = random;
@@ -25,7 +25,10 @@
         backoff = new DiscoveryBackoff(settings.instances, settings.pollIntervalUs);
     }
 
-    /** An endpoint list has come: a cached one has to be brought up to date, any other is. */
+    /**
+     * Polls immediately after a cached list, which may be out of date; cancels the scheduled poll after any other list.
+     * Does nothing if lists are pushed.
+     */
     public void onEndpointList(EndpointListKind kind, long nowUs) {
         if (!settings.endpointListPolled) {
             return;
@@ -34,23 +37,23 @@
             poll(nowUs);
         } else {
             nextPollUs = NEVER;
-            backoff.succeeded();
+            backoff.onListReceived();
         }
     }
 
-    /** A poll has failed, or the watch that it had become. */
+    /** Schedules the next poll after a poll has failed, or the watch that the poll became has ended. */
     public void onPollFailed(long nowUs) {
-        nextPollUs = nowUs + backoff.nextWaitUs(random);
+        nextPollUs = nowUs + backoff.nextDelayUs(random);
     }
 
-    /** Polls if it is due. */
+    /** Polls if the time of {@link #nextPollUs} has been reached. */
     public void onTimer(long nowUs) {
         if (nowUs >= nextPollUs) {
             poll(nowUs);
         }
     }
 
-    /** When {@link #onTimer} is due, or {@link #NEVER}. */
+    /** Returns the time at which {@link #onTimer} is due, or {@link #NEVER}. */
     public long nextPollUs() {
         return nextPollUs;
     }
--- a/src/main/java/loadbalancer/policy/discovery/Jitter.java
+++ b/src/main/java/loadbalancer/policy/discovery/Jitter.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy.discovery;
 
-/** A source of random delays. */
+/** A source of random delays, which tests replace by fixed ones. */
 @FunctionalInterface
 public interface Jitter {
-    /** Draws a number between two bounds, both included. */
-    long between(long min, long max);
+    /** Returns a delay between two bounds in microseconds, both inclusive. */
+    long between(long minUs, long maxUs);
 }
--- a/src/main/java/loadbalancer/policy/discovery/LeaseStatus.java
+++ b/src/main/java/loadbalancer/policy/discovery/LeaseStatus.java
@@ -3,18 +3,21 @@
 import loadbalancer.policy.log.DecisionLog;
 import loadbalancer.policy.log.RequestsRejectedWithoutLease;
 
-/** The lease on the endpoint list as the caller reports it; without reports it is held for good. */
+/**
+ * The state of the lease on the endpoint list as the caller reports it. The lease does not expire until a report says
+ * so.
+ */
 public final class LeaseStatus {
     private final DecisionLog log;
     private long expiresAtUs = Long.MAX_VALUE;
     private long rejectedRequests;
 
-    /** A lease that is held for good until something else is reported. */
+    /** Creates a lease that does not expire until the caller reports an expiry. */
     public LeaseStatus(DecisionLog log) {
         this.log = log;
     }
 
-    /** The lease ends at another time. */
+    /** Sets the expiry, and logs the number of requests that were rejected if the lease is valid again. */
     public void onLeaseChanged(long newExpiresAtUs, long nowUs) {
         expiresAtUs = newExpiresAtUs;
         if (isValid(nowUs) && rejectedRequests > 0) {
@@ -23,12 +26,12 @@
         }
     }
 
-    /** Whether requests may be sent by the list. */
+    /** Returns whether requests may be routed by the endpoint list. */
     public boolean isValid(long nowUs) {
         return nowUs < expiresAtUs;
     }
 
-    /** A request is rejected for want of a lease. */
+    /** Counts a request that is rejected because the lease is not valid. */
     public void onRequestRejected() {
         rejectedRequests++;
     }
--- a/src/main/java/loadbalancer/policy/discovery/package-info.java
+++ b/src/main/java/loadbalancer/policy/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * When the proxy calls discovery, and how long it may use the endpoint list that it has. The classes decide in virtual time:
- * they have no clock, sockets, threads or timers of their own.
+ * Decides when the proxy calls discovery, and how long the proxy may use its current endpoint list. Callers pass the
+ * time to these classes, which have no clock, sockets, threads or timers.
  */
 package loadbalancer.policy.discovery;
--- a/src/test/java/loadbalancer/policy/discovery/DiscoveryBackoffTest.java
+++ b/src/test/java/loadbalancer/policy/discovery/DiscoveryBackoffTest.java
@@ -30,8 +30,8 @@
                 Comparator.comparingLong(ScheduledCall::atUs).thenComparingInt(ScheduledCall::instance));
         for (int i = 0; i < instances; i++) {
             backoffs[i] = new DiscoveryBackoff(instances, POLL_INTERVAL_US);
-            backoffs[i].succeeded();
-            calls.add(new ScheduledCall(backoffs[i].nextWaitUs(random), i));
+            backoffs[i].onListReceived();
+            calls.add(new ScheduledCall(backoffs[i].nextDelayUs(random), i));
         }
         long serviceUs = (long) (1e6 / callsPerS);
         long idleAtUs = OUTAGE_US;
@@ -39,12 +39,12 @@
             ScheduledCall call = calls.poll();
             long startedAtUs = Math.max(call.atUs, idleAtUs);
             if (call.atUs < OUTAGE_US) {
-                calls.add(new ScheduledCall(call.atUs + backoffs[call.instance].nextWaitUs(random), call.instance));
+                calls.add(new ScheduledCall(call.atUs + backoffs[call.instance].nextDelayUs(random), call.instance));
             } else if (startedAtUs - call.atUs > queueTimeoutUs) {
                 // Rejecting a call takes some time too.
                 idleAtUs += serviceUs / REJECTIONS_PER_SERVICE_TIME;
                 calls.add(new ScheduledCall(
-                        call.atUs + queueTimeoutUs + backoffs[call.instance].nextWaitUs(random), call.instance));
+                        call.atUs + queueTimeoutUs + backoffs[call.instance].nextDelayUs(random), call.instance));
             } else {
                 idleAtUs = startedAtUs + serviceUs;
             }
@@ -79,7 +79,7 @@
             DiscoveryBackoff backoff = new DiscoveryBackoff(120, pollIntervalUs);
             long maxDelayUs = Math.max(1, Math.min(DiscoveryBackoff.MAX_DELAY_US, pollIntervalUs / 2));
             for (int i = 0; i < 1_000; i++) {
-                long delayUs = backoff.nextWaitUs(random);
+                long delayUs = backoff.nextDelayUs(random);
                 assertTrue(delayUs > 0 && delayUs <= maxDelayUs, delayUs + " us");
             }
         }
