--- a/src/main/java/loadbalancer/proxy/config/ConfigurationException.java
+++ b/src/main/java/loadbalancer/proxy/config/ConfigurationException.java
@@ -1,6 +1,9 @@
 package loadbalancer.proxy.config;
 
-/** A field of the configuration or of an endpoint list is missing or invalid. The message is one line. */
+/**
+ * Thrown if a field of the configuration or of an endpoint list is missing or invalid. The message names the field and
+ * is one line.
+ */
 public final class ConfigurationException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -8,7 +11,7 @@
     private final String field;
     /** The invalid value, or null if the field is missing or its value is not shown. */
     private final String value;
-    /** What is wrong, as a predicate of the field. */
+    /** The fault, as the end of a sentence that begins with the field, such as {@code is missing}. */
     private final String reason;
 
     /** Creates an exception that does not show the value of the field. */
@@ -28,17 +31,17 @@
         return value == null ? reason : reason + ": " + value.replace('\n', ' ').replace('\r', ' ');
     }
 
-    /** The same exception for a field that is nested in another one. */
+    /** Returns this exception with the name of the enclosing field before the path. */
     ConfigurationException within(String parent) {
         return new ConfigurationException(parent + "." + field, reason, value);
     }
 
-    /** The path of the field. */
+    /** Returns the path of the field. */
     public String field() {
         return field;
     }
 
-    /** What is wrong with the field, and its value if that is shown. */
+    /** Returns the fault, and the value of the field if it is shown. */
     public String description() {
         return describe(reason, value);
     }
--- a/src/main/java/loadbalancer/proxy/config/ConfigurationFile.java
+++ b/src/main/java/loadbalancer/proxy/config/ConfigurationFile.java
@@ -12,7 +12,7 @@
 
 import loadbalancer.policy.LoadBalancerSettings;
 
-/** The configuration file, and the environment variables that name it and override its addresses. */
+/** The configuration file, and the environment variables that hold its path and override its addresses. */
 final class ConfigurationFile {
     /** The environment variable that overrides the address of discovery. */
     static final String DISCOVERY_VARIABLE = "PROXY_DISCOVERY";
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Turns JSON into the dotted names of {@link SettingsParser}. */
+    /** Adds the values of a JSON node under the dotted names that {@link SettingsParser} expects. */
     private static void flatten(String path, JsonNode node, Map<String, String> values) {
         String prefix = path.isEmpty() ? "" : path + ".";
         if (node.isObject()) {
@@ -114,7 +114,8 @@
         JsonNode maxDescriptors = json.path(LIMITS_FIELD).path(MAX_DESCRIPTORS_FIELD);
         if (!maxDescriptors.canConvertToInt() || maxDescriptors.asInt() < MIN_DESCRIPTORS) {
             throw new ConfigurationException(
-                    LIMITS_FIELD + "." + MAX_DESCRIPTORS_FIELD, "is missing or under " + MIN_DESCRIPTORS);
+                    LIMITS_FIELD + "." + MAX_DESCRIPTORS_FIELD,
+                    "is missing or is not an integer of at least " + MIN_DESCRIPTORS);
         }
         return maxDescriptors.asInt();
     }
@@ -126,7 +127,9 @@
                 .asLong(DEFAULT_UPSTREAM_IDLE_TIMEOUT_US);
         if (timeoutUs <= 0) {
             throw new ConfigurationException(
-                    SETTINGS_FIELD + "." + LIMITS_FIELD + "." + UPSTREAM_IDLE_TIMEOUT_FIELD, "is not above 0");
+                    SETTINGS_FIELD + "." + LIMITS_FIELD + "." + UPSTREAM_IDLE_TIMEOUT_FIELD,
+                    "is not greater than 0",
+                    Long.toString(timeoutUs));
         }
         return timeoutUs;
     }
@@ -136,7 +139,7 @@
         try {
             return Long.parseUnsignedLong(text, SEED_RADIX);
         } catch (NumberFormatException e) {
-            throw new ConfigurationException(SEED_FIELD, "is not 1 to 16 hex digits", text);
+            throw new ConfigurationException(SEED_FIELD, "is not a number of 1 to 16 hexadecimal digits", text);
         }
     }
 
--- a/src/main/java/loadbalancer/proxy/config/ProxyConfiguration.java
+++ b/src/main/java/loadbalancer/proxy/config/ProxyConfiguration.java
@@ -13,12 +13,12 @@
 /**
  * The configuration of one proxy instance.
  *
- * @param listen where clients connect
- * @param discovery the address of discovery; null for an instance that keeps its cached endpoint list
- * @param seed of random numbers, another one with each start
- * @param maxDescriptors how many file descriptors the process may have
- * @param upstreamIdleTimeoutUs after how many microseconds endpoints close idle connections
- * @param cachedEndpoints the last endpoint list that the instance had before its start
+ * @param listen the address on which the proxy accepts connections of clients
+ * @param discovery the address of discovery; null for an instance that never replaces its cached endpoint list
+ * @param seed the seed of random numbers, which differs between starts
+ * @param maxDescriptors the maximum number of file descriptors that the process may have open
+ * @param upstreamIdleTimeoutUs the time in microseconds after which endpoints close idle connections
+ * @param cachedEndpoints the last endpoint list that the instance had before it was started
  * @param settings the settings of the policy
  */
 public record ProxyConfiguration(
@@ -31,8 +31,8 @@
         LoadBalancerSettings settings) {
 
     /**
-     * Loads the configuration from the file that the environment names. Addresses in the environment override those in the
-     * file.
+     * Loads the configuration from the file whose path is in the environment. Addresses in the environment override
+     * those in the file.
      *
      * @throws ConfigurationException if the file cannot be read, or a field is missing or invalid
      */
@@ -41,8 +41,8 @@
     }
 
     /**
-     * Loads the configuration again. The address of discovery in the environment is that of the start, so the file overrides
-     * it.
+     * Loads the configuration again. The environment still has the address that discovery had when the process started,
+     * so the address of discovery in the file takes precedence.
      *
      * @throws ConfigurationException if the file cannot be read, or a field is missing or invalid
      */
@@ -52,7 +52,10 @@
         return load(currentEnv);
     }
 
-    /** The configuration of an instance for warm-up: it listens on any free port and has these endpoints, no discovery. */
+    /**
+     * Returns the configuration of an instance for the start-up warm-up, which listens on any free port, has the given
+     * endpoints and does not call discovery.
+     */
     public ProxyConfiguration forStartUpWarmUp(EndpointList endpoints) {
         LoadBalancerSettings warmUpSettings = new LoadBalancerSettings();
         warmUpSettings.zones.addAll(settings.zones);
@@ -71,10 +74,10 @@
     }
 
     /**
-     * Parses an IP address and a port. Host names are not allowed, as resolving them would block.
+     * Parses an IP address and a port. Host names are not allowed, because resolving them would block the thread.
      *
-     * @param field the field of the address, for the exception
-     * @throws ConfigurationException if the text is not of the form address:port
+     * @param field the field that holds the address, for the exception
+     * @throws ConfigurationException if the text is not an IP address, a colon and a port
      */
     public static InetSocketAddress parseAddress(String field, String text) throws ConfigurationException {
         int colon = text.lastIndexOf(':');
@@ -90,6 +93,6 @@
     }
 
     private static ConfigurationException invalidAddress(String field, String text) {
-        return new ConfigurationException(field, "is not address:port", text);
+        return new ConfigurationException(field, "is not an IP address and a port, separated by a colon", text);
     }
 }
--- a/src/main/java/loadbalancer/proxy/config/SettingNames.java
+++ b/src/main/java/loadbalancer/proxy/config/SettingNames.java
@@ -1,8 +1,8 @@
 package loadbalancer.proxy.config;
 
 /**
- * The names of the settings in the configuration file and on the simulator's wire, each as a constant that is named for the
- * field of {@link loadbalancer.policy.LoadBalancerSettings}, {@link loadbalancer.policy.RequestClass} or
+ * The names of the settings in the configuration file and on the simulator's wire, each as a constant that is named for
+ * the field of {@link loadbalancer.policy.LoadBalancerSettings}, {@link loadbalancer.policy.RequestClass} or
  * {@link loadbalancer.policy.Tenant} that it sets.
  */
 final class SettingNames {
@@ -32,7 +32,7 @@
     static final String ENDPOINTS_CACHE_KEYS = "extra.warmKeys";
     static final String LOAD_REPORT_FIELDS = "report.fields";
 
-    /** How many elements a list of objects has, under the name of the list. */
+    /** The number of elements of a list of objects, under the name of the list. */
     static final String COUNT = "count";
 
     /** The name of a request class or a tenant. */
@@ -50,7 +50,7 @@
     static final String CLASS_DEDUPLICATION_WINDOW_US = "windowUs";
     static final String CLASS_STREAMING = "stream";
 
-    /** The value of {@link #WEIGHTED_BY} if priority weights count for each unit of work. */
+    /** The value of {@link #WEIGHTED_BY} if priority weights apply to each unit of work and not to each request. */
     static final String WEIGHTED_BY_WORK = "work";
 
     /** The value of {@link #ENDPOINT_LIST_MODE} if the endpoint list must be polled. */
--- a/src/main/java/loadbalancer/proxy/config/SettingValues.java
+++ b/src/main/java/loadbalancer/proxy/config/SettingValues.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** Typed access to settings by their dotted names. */
+/** Provides typed access to settings by their dotted names. */
 final class SettingValues {
     private final Map<String, String> values;
 
@@ -10,7 +10,7 @@
         this.values = values;
     }
 
-    String required(String name) throws ConfigurationException {
+    String getRequiredText(String name) throws ConfigurationException {
         String value = values.get(name);
         if (value == null) {
             throw new ConfigurationException(name, "is missing");
@@ -18,57 +18,57 @@
         return value;
     }
 
-    String text(String name, String defaultValue) {
+    String getText(String name, String defaultValue) {
         return values.getOrDefault(name, defaultValue);
     }
 
-    /** The elements of a list of values, which are separated by commas; none if the setting is missing. */
-    String[] list(String name) {
+    /** Returns the elements of a list of values, which are separated by commas; empty if the setting is missing. */
+    String[] getList(String name) {
         String value = values.getOrDefault(name, "");
         return value.isEmpty() ? new String[0] : value.split(",");
     }
 
-    /** The number of elements of a list of objects; 0 if the setting is missing. */
-    int count(String name) throws ConfigurationException {
-        return intNumber(name + "." + SettingNames.COUNT, 0);
+    /** Returns the number of elements of a list of objects; 0 if the setting is missing. */
+    int getCount(String name) throws ConfigurationException {
+        return getInt(name + "." + SettingNames.COUNT, 0);
     }
 
-    /** A truth value; false if the setting is missing. */
-    boolean flag(String name) throws ConfigurationException {
+    /** Returns a boolean setting; false if the setting is missing. */
+    boolean getBoolean(String name) throws ConfigurationException {
         String value = values.getOrDefault(name, "false");
         return switch (value) {
             case "1", "true" -> true;
             case "0", "false" -> false;
-            default -> throw new ConfigurationException(name, "is neither true nor false", value);
+            default -> throw new ConfigurationException(name, "is none of true, false, 1 and 0", value);
         };
     }
 
-    int intNumber(String name, int defaultValue) throws ConfigurationException {
-        return (int) longNumber(name, defaultValue);
+    int getInt(String name, int defaultValue) throws ConfigurationException {
+        return (int) getLong(name, defaultValue);
     }
 
-    long longNumber(String name, long defaultValue) throws ConfigurationException {
-        return values.containsKey(name) ? requiredLongNumber(name) : defaultValue;
+    long getLong(String name, long defaultValue) throws ConfigurationException {
+        return values.containsKey(name) ? getRequiredLong(name) : defaultValue;
     }
 
-    /** A number whose fraction is cut off. */
-    long requiredLongNumber(String name) throws ConfigurationException {
-        return (long) requiredDecimal(name);
+    /** Returns a number without its fraction. */
+    long getRequiredLong(String name) throws ConfigurationException {
+        return (long) getRequiredDouble(name);
     }
 
-    double decimal(String name, double defaultValue) throws ConfigurationException {
-        return values.containsKey(name) ? requiredDecimal(name) : defaultValue;
+    double getDouble(String name, double defaultValue) throws ConfigurationException {
+        return values.containsKey(name) ? getRequiredDouble(name) : defaultValue;
     }
 
-    private double requiredDecimal(String name) throws ConfigurationException {
+    private double getRequiredDouble(String name) throws ConfigurationException {
         double number;
         try {
-            number = Double.parseDouble(required(name));
+            number = Double.parseDouble(getRequiredText(name));
         } catch (NumberFormatException e) {
             number = Double.NaN;
         }
         if (!Double.isFinite(number)) {
-            throw new ConfigurationException(name, "is not a number");
+            throw new ConfigurationException(name, "is not a finite number", values.get(name));
         }
         return number;
     }
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryCallLog.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryCallLog.java
@@ -6,7 +6,7 @@
 import loadbalancer.proxy.logging.LogEvent;
 import loadbalancer.proxy.resources.Clock;
 
-/** Times the steps of a call to discovery and logs its changes of state and its endpoint lists. */
+/** Records the times of the steps of a call to discovery, and logs the state changes and endpoint lists of the call. */
 final class DiscoveryCallLog {
     private static final long NOT_REACHED = 0;
 
@@ -14,41 +14,41 @@
     private final Clock clock;
     private final long openedAtUs;
     private long connectedAtUs = NOT_REACHED;
-    private long respondedAtUs = NOT_REACHED;
+    private long responseHeaderAtUs = NOT_REACHED;
     private long firstByteAtUs = NOT_REACHED;
     private long firstMessageAtUs = NOT_REACHED;
 
-    /** Creates the log of a call that is opened now. */
+    /** Creates the log of a call that is being opened now. */
     DiscoveryCallLog(DiscoveryCallId call, Clock clock) {
         this.call = call;
         this.clock = clock;
         openedAtUs = clock.nowUs();
     }
 
-    /** The connection is open. */
+    /** Records that the connection is open. */
     void onConnected() {
         connectedAtUs = clock.nowUs();
     }
 
-    /** The header of the response has arrived. */
-    void onResponse() {
-        respondedAtUs = clock.nowUs();
+    /** Records that the header of the response has arrived. */
+    void onResponseHeader() {
+        responseHeaderAtUs = clock.nowUs();
     }
 
-    /** Bytes of the response's body have arrived. */
-    void onBytes() {
+    /** Records the arrival of bytes of the response's body, if they are the first ones. */
+    void onContentBytes() {
         if (firstByteAtUs == NOT_REACHED) {
             firstByteAtUs = clock.nowUs();
         }
     }
 
-    /** The first endpoint list or heartbeat has arrived. */
+    /** Records and logs the first message: an endpoint list or a heartbeat, as the kind says. */
     void onFirstMessage(String kind, long currentVersion) {
         firstMessageAtUs = clock.nowUs();
         logState("watching", kind, currentVersion);
     }
 
-    /** The call ends. */
+    /** Logs that the call is closed. */
     void onClosed(String reason, long currentVersion) {
         logState("closed", reason, currentVersion);
     }
@@ -60,23 +60,23 @@
                 .with("reason", reason)
                 .with("version", currentVersion)
                 .with("age_us", clock.nowUs() - openedAtUs)
-                .with("connected_us", sinceOpened(connectedAtUs))
-                .with("status_us", sinceOpened(respondedAtUs))
-                .with("first_byte_us", sinceOpened(firstByteAtUs))
-                .with("first_message_us", sinceOpened(firstMessageAtUs)));
+                .with("connected_us", sinceOpenedUs(connectedAtUs))
+                .with("status_us", sinceOpenedUs(responseHeaderAtUs))
+                .with("first_byte_us", sinceOpenedUs(firstByteAtUs))
+                .with("first_message_us", sinceOpenedUs(firstMessageAtUs)));
     }
 
-    /** Microseconds since the call was opened, or -1 if the step was not reached. */
-    private long sinceOpened(long atUs) {
-        return atUs == NOT_REACHED ? -1 : atUs - openedAtUs;
+    /** Returns the time from opening the call to a step, or -1 if the call did not reach the step. */
+    private long sinceOpenedUs(long stepAtUs) {
+        return stepAtUs == NOT_REACHED ? -1 : stepAtUs - openedAtUs;
     }
 
-    /** A list could not be decoded. */
+    /** Logs a list that is dropped because it is malformed. */
     void onMalformedList() {
         EventLog.event(LogEvent.named("endpoint_list").with("action", "dropped").with("call", call.number()));
     }
 
-    /** A list was applied, or dropped because of its version. */
+    /** Logs a list that was applied, or dropped because of its version. Does not log a list without changes. */
     void onList(EndpointList list, boolean isApplied, long currentVersion) {
         if (list.endpoints().isEmpty() && !list.isComplete()) {
             return;
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryCallPhase.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryCallPhase.java
@@ -1,12 +1,12 @@
 package loadbalancer.proxy.discovery;
 
-/** The phases of a {@link DiscoveryCall}, in order. */
+/** The phases of a {@link DiscoveryCall}, in the order in which a call passes through them. */
 enum DiscoveryCallPhase {
     /** The connection is being opened. */
     CONNECTING,
-    /** The request is sent, and no endpoint list or heartbeat was accepted so far. */
+    /** The request has been sent, and no endpoint list or heartbeat has been accepted yet. */
     AWAITING_FIRST_MESSAGE,
-    /** An endpoint list was accepted; changes and heartbeats follow. */
+    /** An endpoint list or a heartbeat has been accepted, and further changes and heartbeats follow. */
     WATCHING,
     /** The call has ended. */
     CLOSED;
@@ -14,7 +14,7 @@
     /**
      * Returns the next phase.
      *
-     * @throws IllegalStateException if it does not follow this one
+     * @throws IllegalStateException if the next phase must not follow this one
      */
     DiscoveryCallPhase transitionTo(DiscoveryCallPhase next) {
         boolean isAllowed =
@@ -25,7 +25,7 @@
                     case CLOSED -> this != CLOSED;
                 };
         if (!isAllowed) {
-            throw new IllegalStateException("a discovery call that is " + this + " cannot become " + next);
+            throw new IllegalStateException("illegal transition of a discovery call from " + this + " to " + next);
         }
         return next;
     }
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -32,19 +32,21 @@
 import loadbalancer.proxy.resources.HeapBuffers;
 
 /**
- * The client of discovery. It opens and closes the calls that {@link DiscoveryCallScheduler} schedules and passes their
- * endpoint lists to a listener. All methods run on the event loop.
+ * The client of discovery. Opens and closes the calls that {@link DiscoveryCallScheduler} schedules, and passes their
+ * endpoint lists to a listener. All methods must be called on the event loop.
  */
 public final class DiscoveryClient implements DiscoveryCallActions {
-    /** Receives the endpoint lists of discovery and the state of their lease. */
+    /** Receives the endpoint lists of discovery and the expiry of their lease. */
     public interface Listener {
-        /** A list has arrived that is to be applied. */
+        /** Applies a list that has arrived. */
         void onEndpointList(EndpointList list);
 
-        /** The lease of the endpoint list expires at another time in microseconds, or has just expired. */
+        /**
+         * Called when the expiry of the lease, in microseconds of the proxy's clock, has changed or has just passed.
+         */
         default void onLeaseChanged(long expiresAtUs) {}
 
-        /** A call or a watch has ended; the next one is scheduled without the listener. */
+        /** Called when a call or a watch has ended. The client schedules the next call itself. */
         default void onCallEnded(String reason) {}
     }
 
@@ -60,38 +62,38 @@
     private final FallbackListDecoder decoder;
     private final Map<DiscoveryCallId, DiscoveryCall> openCalls = new HashMap<>();
     private InetSocketAddress address;
-    /** Counts the addresses that discovery has had. */
+    /** The number of address changes of discovery. */
     private int addressGeneration;
 
-    private boolean started;
+    private boolean isStarted;
     private Future<?> schedulerTimer;
 
-    /** Creates a client that makes no call before {@link #start}. */
+    /** Creates a client that opens no call before {@link #start}. */
     public DiscoveryClient(
             EventLoop loop,
             ProxyConfiguration config,
             DiscoveryCallTiming timing,
-            EndpointListLeaseTerms terms,
+            EndpointListLeaseTerms leaseTerms,
             Clock clock,
             Listener listener,
-            ChannelFactory<? extends SocketChannel> channels) {
+            ChannelFactory<? extends SocketChannel> channelFactory) {
         this.loop = loop;
         this.clock = clock;
         this.listener = listener;
         address = config.discovery();
         decoder = new FallbackListDecoder(new EndpointListDecoder(config.settings().zones));
         version = new EndpointListVersion(config.cachedEndpoints().version());
-        EndpointListLease lease = new EndpointListLease(terms);
+        EndpointListLease lease = new EndpointListLease(leaseTerms);
         leaseMonitor = new LeaseMonitor(loop, clock, lease, version, listener::onLeaseChanged);
         SplittableRandom random = new SplittableRandom(config.seed());
         scheduler = new DiscoveryCallScheduler(timing, (min, max) -> random.nextLong(min, max + 1), lease, this);
-        bootstrap = newBootstrap(loop, channels);
+        bootstrap = newBootstrap(loop, channelFactory);
     }
 
-    private static Bootstrap newBootstrap(EventLoop loop, ChannelFactory<? extends SocketChannel> channels) {
+    private static Bootstrap newBootstrap(EventLoop loop, ChannelFactory<? extends SocketChannel> channelFactory) {
         return new Bootstrap()
                 .group(loop)
-                .channelFactory(channels)
+                .channelFactory(channelFactory)
                 .option(ChannelOption.ALLOCATOR, HeapBuffers.ALLOCATOR)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<SocketChannel>() {
@@ -102,18 +104,18 @@
                 });
     }
 
-    /** Starts calling discovery; later invocations do nothing. */
+    /** Starts to call discovery. Does nothing if the client has already been started. */
     public void start() {
-        if (!started) {
-            started = true;
+        if (!isStarted) {
+            isStarted = true;
             scheduler.start(clock.nowUs());
             rescheduleTimer();
         }
     }
 
     /**
-     * Calls discovery at another address from now on. As versions at the two addresses do not compare, the complete list is
-     * requested.
+     * Calls discovery at another address from now on. The next call requests the complete list, because versions of the
+     * two addresses cannot be compared. Does nothing if the address has not changed.
      *
      * @param signalledAtUs when the process received the signal to reload its configuration
      */
@@ -125,10 +127,10 @@
         address = newAddress;
         addressGeneration++;
         version.onDiscoveryMoved();
-        if (started) {
+        if (isStarted) {
             scheduler.onDiscoveryMoved(clock.nowUs(), signalledAtUs);
             rescheduleTimer();
-            leaseMonitor.onLeaseUpdated("discovery has moved");
+            leaseMonitor.onLeaseUpdated("discovery has another address");
         }
     }
 
@@ -137,7 +139,7 @@
         ChannelFuture connect = bootstrap.connect(address);
         DiscoveryCall call = new DiscoveryCall(id, addressGeneration, this, connect.channel(), clock);
         openCalls.put(id, call);
-        // If no socket was available, another thread completes the future.
+        // If no socket was available, another thread than the event loop completes the future.
         connect.addListener(done -> loop.execute(() -> call.onConnectCompleted(connect, version.comparableOrNone())));
     }
 
@@ -169,26 +171,26 @@
         return decoder;
     }
 
-    /** A call has received lists or a heartbeat. */
+    /** Tells the scheduler that a call has received lists or a heartbeat. */
     void onMessage(DiscoveryCall call) {
         scheduler.onMessage(clock.nowUs(), call.id());
         rescheduleTimer();
     }
 
-    /** The messages of a call confirm the list that was applied last. */
+    /** Renews the lease if the call is the watch, because its messages confirm the list that was applied last. */
     void onListConfirmed(DiscoveryCall call) {
         scheduler.onListConfirmed(clock.nowUs(), call.id());
         rescheduleTimer();
         leaseMonitor.onLeaseUpdated("discovery has confirmed the endpoint list");
     }
 
-    /** A list has begun to arrive and is incomplete, or cannot be used. */
+    /** Limits the lease, because a list is incomplete so far or cannot be used. */
     void onPartialList() {
         scheduler.onPartialList(clock.nowUs());
-        leaseMonitor.onLeaseUpdated("an endpoint list is incomplete");
+        leaseMonitor.onLeaseUpdated("an endpoint list is incomplete or cannot be used");
     }
 
-    /** A call has ended that the client has not closed. */
+    /** Handles the end of a call that the scheduler did not close. */
     void onCallEnded(DiscoveryCall call, DiscoveryCallOutcome outcome, String reason) {
         openCalls.remove(call.id());
         scheduler.onCallEnded(clock.nowUs(), call.id(), outcome);
@@ -197,7 +199,10 @@
         listener.onCallEnded(reason);
     }
 
-    /** Whether the current version is one of the discovery that a call has reached. */
+    /**
+     * Returns whether the current version can be compared with the versions of the discovery that a call is connected
+     * to.
+     */
     boolean isVersionComparable(DiscoveryCall call) {
         return isAtCurrentAddress(call) && version.isComparable();
     }
@@ -207,9 +212,10 @@
     }
 
     /**
-     * Applies a list. The last lists from a previous address are applied too, but their versions are not kept.
+     * Applies a list unless its version forbids it. Lists from a previous address of discovery are applied too, but
+     * their versions are not stored.
      *
-     * @return false if the list must not be applied because of its version
+     * @return whether the list was applied
      */
     boolean apply(DiscoveryCall call, EndpointList list, boolean isFirstMessage) {
         boolean isAccepted = !isAtCurrentAddress(call) || version.accept(list, isFirstMessage);
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListParser.java
@@ -12,16 +12,19 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.util.TokenBuffer;
 
-/** Parses the JSON objects of a watch, which may be split at any byte, span several lines, or share one. */
+/**
+ * Parses the JSON objects of a watch. An object may be split at any byte and may span several lines, and a line may
+ * hold several objects.
+ */
 final class EndpointListParser {
-    /** Enough for 3,200 indented entries of half a kilobyte each. */
+    /** The space for 3,200 indented entries of half a kilobyte each. */
     private static final int MAX_OBJECT_BYTES = 3_200 * 512;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
-    /** The object whose end has not arrived, or null. */
+    /** The object whose end has not arrived yet, or null. */
     private TokenBuffer partialObject;
 
     private int depth;
@@ -31,12 +34,12 @@
         try {
             parser = JSON.getFactory().createNonBlockingByteArrayParser();
         } catch (IOException e) {
-            throw new IllegalStateException("no JSON parser", e);
+            throw new IllegalStateException("cannot create a JSON parser", e);
         }
         feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
-    /** Whether an object has begun and not ended. */
+    /** Returns whether the begin of an object has arrived, but not its end. */
     boolean hasPartialObject() {
         return depth > 0;
     }
@@ -44,9 +47,9 @@
     /**
      * Parses further bytes.
      *
-     * @return the objects that are complete now, in order; none for a heartbeat
-     * @throws IOException if the bytes are not a sequence of objects, or an object is too long; nothing can be parsed after
-     *     that
+     * @return the objects that these bytes complete, in order; empty for a heartbeat
+     * @throws IOException if the bytes are not a sequence of objects or an object is too long; the parser cannot be
+     *     used afterwards
      */
     List<JsonNode> parse(byte[] bytes) throws IOException {
         feeder.feedInput(bytes, 0, bytes.length);
@@ -59,14 +62,14 @@
                 partialObject = null;
             }
         }
-        limitObjectLength(bytes, !objects.isEmpty());
+        checkObjectLength(bytes, !objects.isEmpty());
         return objects;
     }
 
     private void append(JsonToken token) throws IOException {
         if (depth == 0) {
             if (token != JsonToken.START_OBJECT) {
-                throw new IOException("not an object: " + token);
+                throw new IOException("expected a JSON object but found " + token);
             }
             partialObject = new TokenBuffer(JSON, false);
         }
@@ -78,12 +81,14 @@
         }
     }
 
-    /** Heartbeats are blanks between objects and do not count. */
-    private void limitObjectLength(byte[] bytes, boolean hasCompletedObject) throws IOException {
+    /**
+     * Fails if an object is too long. A heartbeat, which is white space between objects, does not count as part of one.
+     */
+    private void checkObjectLength(byte[] bytes, boolean hasCompletedObject) throws IOException {
         boolean isHeartbeat = depth == 0 && isBlank(bytes);
         bytesSinceLastObject = hasCompletedObject || isHeartbeat ? 0 : bytesSinceLastObject + bytes.length;
         if (bytesSinceLastObject > MAX_OBJECT_BYTES) {
-            throw new IOException("an object without an end");
+            throw new IOException("a JSON object exceeds " + MAX_OBJECT_BYTES + " bytes");
         }
     }
 
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListVersion.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListVersion.java
@@ -2,15 +2,18 @@
 
 import loadbalancer.proxy.config.EndpointList;
 
-/** The version of the endpoint list that the proxy has, and whether a call can request only the changes after it. */
+/** The version of the proxy's endpoint list, and whether a call can request only the changes after that version. */
 final class EndpointListVersion {
-    /** In place of a version if the complete list must be requested. */
+    /** The value that is used instead of a version if the complete list must be requested. */
     static final long NONE = -1;
 
     private enum State {
-        /** Versions of the current discovery compare with this one. */
+        /** Versions of the current discovery can be compared with this one. */
         COMPARABLE,
-        /** Discovery has moved or has restarted its versions; the next list replaces this version whatever its own is. */
+        /**
+         * Discovery has another address or has restarted its versions. The next list is accepted whatever its version
+         * is.
+         */
         OUTDATED
     }
 
@@ -22,30 +25,30 @@
         this.number = number;
     }
 
-    /** The number of the last accepted version. */
+    /** Returns the number of the last accepted version, even if it is outdated. */
     long number() {
         return number;
     }
 
-    /** The version after which changes can be requested, or {@link #NONE}. */
+    /** Returns the version after which changes can be requested, or {@link #NONE}. */
     long comparableOrNone() {
         return isComparable() ? number : NONE;
     }
 
-    /** Whether versions of the current discovery compare with this one. */
+    /** Returns whether versions of the current discovery can be compared with this one. */
     boolean isComparable() {
         return state == State.COMPARABLE;
     }
 
-    /** Discovery has moved: its versions do not compare with this one. */
+    /** Marks the version as outdated, because discovery at another address has other versions. */
     void onDiscoveryMoved() {
         state = State.OUTDATED;
     }
 
     /**
-     * Accepts a list of the current discovery, or rejects it if its version is lower than this one. A late list, or one of
-     * a discovery that has restarted its versions, may be older than what is known of draining endpoints. A complete list
-     * as the first message of a call is accepted whatever its version.
+     * Accepts a list of the current discovery, or rejects it if its version is lower than this one. A list with a lower
+     * version is late, or discovery has restarted its versions; the list may lack endpoints that the proxy already
+     * knows to be draining. A complete list that is the first message of a call is accepted whatever its version is.
      *
      * @return whether the list can be applied
      */
--- a/src/main/java/loadbalancer/proxy/discovery/FallbackListDecoder.java
+++ b/src/main/java/loadbalancer/proxy/discovery/FallbackListDecoder.java
@@ -9,14 +9,15 @@
 import loadbalancer.proxy.logging.LogEvent;
 
 /**
- * Decodes the endpoint lists of discovery. A malformed list is dropped and requested again. The list after a malformed one
- * is decoded as far as possible, so that an entry that stays malformed does not hide all later changes.
+ * Decodes the endpoint lists of discovery. A malformed list is dropped, and the list is requested again. The list after
+ * a malformed one is decoded without its malformed entries, so that an entry that stays malformed does not block all
+ * later changes.
  */
 final class FallbackListDecoder {
     private enum Mode {
         /** A malformed entry makes the list malformed. */
         STRICT,
-        /** The next list is decoded without its malformed entries. */
+        /** Malformed entries are left out of the next list. */
         LENIENT
     }
 
@@ -27,7 +28,7 @@
         this.decoder = decoder;
     }
 
-    /** A list was malformed and is dropped. */
+    /** Makes the next list be decoded leniently, because a malformed list is dropped. */
     void onMalformedList() {
         mode = Mode.LENIENT;
     }
--- a/src/main/java/loadbalancer/proxy/discovery/LeaseMonitor.java
+++ b/src/main/java/loadbalancer/proxy/discovery/LeaseMonitor.java
@@ -11,9 +11,9 @@
 import loadbalancer.proxy.logging.LogEvent;
 import loadbalancer.proxy.resources.Clock;
 
-/** Reports changes of the endpoint list lease and its expiry, and logs when the lease is granted and lost. */
+/** Reports changes of the expiry of the endpoint list lease, and logs when the lease is granted and when it is lost. */
 final class LeaseMonitor {
-    /** Timers may fire early by less than this. */
+    /** A timer may fire up to this time too early. */
     private static final long TIMER_PRECISION_MS = 1;
 
     private final EventLoop loop;
@@ -22,7 +22,7 @@
     private final EndpointListVersion version;
     private final LongConsumer expiryListener;
     private long reportedExpiryUs = EndpointListLease.NOT_GRANTED;
-    /** Null if the lease was last reported as expired. */
+    /** The timer of the expiry, or null if the lease was last reported as expired. */
     private Future<?> expiryTimer;
 
     private long grants;
@@ -32,7 +32,7 @@
      * Creates a monitor of a lease.
      *
      * @param version the version of the endpoint list, for the log
-     * @param expiryListener receives the expiry in microseconds when it changes, and once more when it has passed
+     * @param expiryListener receives the expiry in microseconds when it changes, and again when it has passed
      */
     LeaseMonitor(
             EventLoop loop,
@@ -47,7 +47,7 @@
         this.expiryListener = expiryListener;
     }
 
-    /** Reports the expiry if an event has changed it. */
+    /** Reports the expiry if an event has changed it, with the event as the reason in the log. */
     void onLeaseUpdated(String reason) {
         if (lease.expiresAtUs() != reportedExpiryUs) {
             reportedExpiryUs = lease.expiresAtUs();
--- a/src/main/java/loadbalancer/proxy/discovery/package-info.java
+++ b/src/main/java/loadbalancer/proxy/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The client of discovery: it opens and closes the calls that the policy schedules, and turns their bytes into endpoint
- * lists.
+ * The client of discovery, which opens and closes the calls that the policy schedules and decodes the endpoint lists
+ * that arrive on them.
  */
 package loadbalancer.proxy.discovery;
--- a/src/main/java/loadbalancer/proxy/protocol/DiscoveryProtocol.java
+++ b/src/main/java/loadbalancer/proxy/protocol/DiscoveryProtocol.java
@@ -6,24 +6,24 @@
     public static final String HOST = "discovery";
 
     /**
-     * The target of a request for a watch: a response that stays open, on which discovery writes the endpoint list and
-     * later its changes, and a blank line as a heartbeat while nothing changes.
+     * The target of a request for a watch. Discovery keeps the response open and writes the endpoint list to it, later
+     * the changes of the list, and blank lines as heartbeats while nothing changes.
      */
     public static final String WATCH_TARGET = "/discovery/hosts?watch=1";
 
-    /** Added to {@link #WATCH_TARGET} before a version: only changes after that version are requested. */
+    /** Appended to {@link #WATCH_TARGET}, with a version after it, to request only the changes after that version. */
     public static final String AFTER_VERSION_PARAMETER = "&after=";
 
     /** The version of an endpoint list, an integer. */
     public static final String VERSION_FIELD = "rev";
 
-    /** Whether an endpoint list is complete or holds changes only. */
+    /** Whether an endpoint list is complete, a boolean; otherwise the list holds only changes. */
     public static final String COMPLETE_FIELD = "all";
 
     /** The entries of an endpoint list, an array of objects. */
     public static final String ENDPOINTS_FIELD = "targets";
 
-    /** The id of an endpoint, the same for every instance of the proxy. */
+    /** The id of an endpoint, which is the same for all instances. */
     public static final String ENDPOINT_ID_FIELD = "uid";
 
     /** The IP address and port of an endpoint. */
@@ -41,13 +41,13 @@
     /** The capacity of an endpoint relative to others. */
     public static final String CAPACITY_FIELD = "capacity_hint";
 
-    /** The last start of an endpoint in milliseconds of Unix time; 0 if it was long ago. */
+    /** The time of an endpoint's last start in milliseconds of Unix time; 0 if the start was long ago. */
     public static final String STARTED_AT_MS_FIELD = "boot_ms";
 
-    /** The {@link #STATE_FIELD} of an endpoint that takes requests. */
+    /** The {@link #STATE_FIELD} of an endpoint that accepts requests. */
     public static final String READY_STATE = "Ready";
 
-    /** The {@link #STATE_FIELD} of an endpoint that must get no new requests. */
+    /** The {@link #STATE_FIELD} of an endpoint that must not receive new requests. */
     public static final String DRAINING_STATE = "Terminating";
 
     /** The {@link #STATE_FIELD} of an endpoint that no longer exists. */
--- a/src/main/java/loadbalancer/proxy/protocol/package-info.java
+++ b/src/main/java/loadbalancer/proxy/protocol/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The names that clients, upstream endpoints and discovery know: paths, header fields and JSON fields, each as a constant
- * that is named for the term used in the rest of the code.
+ * The names in the protocols of clients, upstream endpoints and discovery: paths, header fields and JSON fields. Each
+ * is a constant with the name that the rest of the code uses for it.
  */
 package loadbalancer.proxy.protocol;
