--- a/src/test/java/loadbalancer/policy/discovery/CallBehavior.java
+++ b/src/test/java/loadbalancer/policy/discovery/CallBehavior.java
@@ -1,31 +1,31 @@
 package loadbalancer.policy.discovery;
 
-/** What happens to a call at {@link VirtualDiscovery}. */
+/** The behaviors with which {@link VirtualDiscovery} responds to a call. */
 enum CallBehavior {
-    /** Connecting hangs, or no message arrives, or a header only. */
+    /** No message arrives: connecting hangs, or discovery sends nothing, or only the header of a response. */
     HANGS,
-    /** The connection is refused, so discovery is not reachable at that moment. */
+    /** Discovery is not reachable, so the connection is refused. */
     CONNECTION_REFUSED,
-    /** Reset, status 503 at once, or a malformed list. */
-    FAILS_AT_ONCE,
-    /** Status 503 after two seconds. */
-    FAILS_LATE,
-    /** Status 503 after three seconds. */
-    FAILS_LATER,
-    /** A list, and discovery ends the watch after a second. */
+    /** The call fails immediately: a reset, a response with status 503, or a malformed list. */
+    FAILS_IMMEDIATELY,
+    /** Discovery responds with status 503 after 2 s. */
+    FAILS_AFTER_2_SECONDS,
+    /** Discovery responds with status 503 after 3 s. */
+    FAILS_AFTER_3_SECONDS,
+    /** Discovery sends a list and completes the response after 1 s. */
     WATCH_ENDS,
-    /** A list, and the watch is reset after a second. */
+    /** Discovery sends a list and resets the watch after 1 s. */
     WATCH_IS_RESET,
-    /** Half a list, and a reset. */
+    /** Discovery sends a part of a list and then resets the call. */
     PARTIAL_LIST,
-    /** A list, and no further message. */
+    /** Discovery sends a list and no further message. */
     WATCH_HANGS,
-    /** A heartbeat as the first message, and an end. */
+    /** Discovery sends a heartbeat as the first message and then completes the response. */
     HEARTBEAT_AND_END,
-    /** A list after the call was queued, and an end. */
+    /** Discovery queues the call, sends a list and then completes the response. */
     QUEUED_AND_ENDS,
-    /** No message, and half a second later a signal that discovery has moved. */
+    /** No message arrives, and after 0.5 s a signal tells that discovery has another address. */
     DISCOVERY_MOVES,
-    /** None of these: a list after the call was queued, and a watch. */
+    /** Discovery queues the call and sends a list, and the call stays open as the watch. */
     SERVED
 }
--- a/src/test/java/loadbalancer/policy/discovery/DiscoveryCallLifecycleTest.java
+++ b/src/test/java/loadbalancer/policy/discovery/DiscoveryCallLifecycleTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which calls {@link DiscoveryCallScheduler} opens and closes, and when. */
+/** Tests which calls {@link DiscoveryCallScheduler} opens and closes, and when. */
 @Timeout(240)
 class DiscoveryCallLifecycleTest {
     private static DiscoveryCallId call(long number) {
         return new DiscoveryCallId(number);
     }
 
-    private static DiscoveryCallScheduler started(List<String> actions) {
-        DiscoveryCallScheduler scheduler = SchedulerFixture.recording(1, actions);
+    private static DiscoveryCallScheduler startedScheduler(List<String> actions) {
+        DiscoveryCallScheduler scheduler = SchedulerFixture.newRecordingScheduler(1, actions);
         scheduler.start(0);
         scheduler.onTimer(scheduler.nextTimerUs());
         return scheduler;
@@ -28,7 +28,7 @@
     @Test
     void firstPendingCallWithAMessageBecomesTheWatch() {
         List<String> actions = new ArrayList<>();
-        DiscoveryCallScheduler scheduler = started(actions);
+        DiscoveryCallScheduler scheduler = startedScheduler(actions);
         scheduler.onTimer(scheduler.nextTimerUs());
         scheduler.onMessage(3_500_000, call(1));
         assertEquals(List.of("open 1", "open 2", "close 2"), actions);
@@ -37,7 +37,7 @@
     @Test
     void unresponsiveWatchStaysOpenUntilAnotherCallHasAMessage() {
         List<String> actions = new ArrayList<>();
-        DiscoveryCallScheduler scheduler = started(actions);
+        DiscoveryCallScheduler scheduler = startedScheduler(actions);
         scheduler.onMessage(100_000, call(1));
         scheduler.onTimer(scheduler.nextTimerUs());
         scheduler.onMessage(2_700_000, call(1));
@@ -49,7 +49,7 @@
     @Test
     void watchAtPreviousAddressStaysOpenUntilTheNewAddressSendsAMessage() {
         List<String> actions = new ArrayList<>();
-        DiscoveryCallScheduler scheduler = started(actions);
+        DiscoveryCallScheduler scheduler = startedScheduler(actions);
         scheduler.onMessage(100_000, call(1));
         scheduler.onDiscoveryMoved(200_000, 200_000);
         scheduler.onTimer(scheduler.nextTimerUs());
@@ -61,29 +61,31 @@
     }
 
     @Test
-    void noCallIsOpenedBesideOneThatMayBeQueued() {
-        DiscoveryCallScheduler scheduler = started(new ArrayList<>());
-        assertTrue(scheduler.nextTimerUs() >= SchedulerFixture.QUEUE_US, scheduler.nextTimerUs() + " us");
+    void noSecondCallIsOpenedWhileTheFirstOneMayBeQueued() {
+        DiscoveryCallScheduler scheduler = startedScheduler(new ArrayList<>());
+        assertTrue(
+                scheduler.nextTimerUs() >= SchedulerFixture.MAX_QUEUE_TIME_US,
+                "the next call is opened at " + scheduler.nextTimerUs() + " us");
     }
 
     @Test
     void retryDelayIsDoubledAfterRepeatedFailures() {
-        DiscoveryCallScheduler scheduler = SchedulerFixture.recording(100, new ArrayList<>());
+        DiscoveryCallScheduler scheduler = SchedulerFixture.newRecordingScheduler(100, new ArrayList<>());
         scheduler.start(0);
-        long previousUs = 0;
+        long openedAtUs = 0;
         long delayUs = 0;
         for (int number = 1; number <= 10; number++) {
-            previousUs = scheduler.nextTimerUs();
-            scheduler.onTimer(previousUs);
-            scheduler.onCallEnded(previousUs, call(number), DiscoveryCallOutcome.FAILED);
-            delayUs = scheduler.nextTimerUs() - previousUs;
+            openedAtUs = scheduler.nextTimerUs();
+            scheduler.onTimer(openedAtUs);
+            scheduler.onCallEnded(openedAtUs, call(number), DiscoveryCallOutcome.FAILED);
+            delayUs = scheduler.nextTimerUs() - openedAtUs;
             assertTrue(
                     number > 5 || delayUs == SchedulerFixture.timing(100).maxRetryDelayUs(),
-                    "call " + number + ": " + delayUs + " us");
+                    "the delay after call " + number + " is " + delayUs + " us");
         }
         assertEquals(4 * SchedulerFixture.timing(100).maxRetryDelayUs(), delayUs);
         scheduler.onTimer(scheduler.nextTimerUs());
-        long nowUs = previousUs + delayUs;
+        long nowUs = openedAtUs + delayUs;
         scheduler.onMessage(nowUs, call(11));
         scheduler.onListConfirmed(nowUs, call(11));
         scheduler.onCallEnded(nowUs, call(11), DiscoveryCallOutcome.FAILED);
@@ -91,11 +93,11 @@
                 scheduler.nextTimerUs() - nowUs <= SchedulerFixture.timing(100).maxInitialDelayUs());
     }
 
-    /** The call after a watch that has ended or is unresponsive can still renew the lease. */
+    /** The call after a watch that has ended or is unresponsive is opened early enough to renew the lease. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void callAfterAWatchIsOpenedBeforeTheLeaseExpires(boolean watchEnds) {
-        DiscoveryCallScheduler scheduler = SchedulerFixture.recording(1_024, new ArrayList<>());
+        DiscoveryCallScheduler scheduler = SchedulerFixture.newRecordingScheduler(1_024, new ArrayList<>());
         scheduler.start(0);
         long nowUs = scheduler.nextTimerUs();
         scheduler.onTimer(nowUs);
--- a/src/test/java/loadbalancer/policy/discovery/DiscoveryCallSchedulerTest.java
+++ b/src/test/java/loadbalancer/policy/discovery/DiscoveryCallSchedulerTest.java
@@ -12,13 +12,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Walks every order of what may happen to calls, in virtual time. No call has to succeed: the lease expires before a change
- * that may have been missed counts as notified.
+ * Simulates every sequence of call behaviors up to a length, in virtual time. Guards against a lease that does not
+ * expire although calls keep failing, so that the proxy routes by an endpoint list whose changes count as notified, and
+ * against a lease that is renewed too late once discovery serves calls again.
  */
 @Timeout(240)
 class DiscoveryCallSchedulerTest {
-    /** For how long a call that hangs delays the next one. */
-    private static final long HANGING_CALL_US = 3_300_000;
+    /** The time by which a call that hangs delays the next call. */
+    private static final long HANGING_CALL_DELAY_US = 3_300_000;
 
     private static EndpointListLeaseTerms terms(
             long afterConfirmationUs, long afterMoveUs, long afterWatchEndUs, long afterPartialListUs) {
@@ -26,79 +27,82 @@
                 afterConfirmationUs, afterMoveUs, afterWatchEndUs, afterConfirmationUs, afterPartialListUs);
     }
 
-    /** How soon the lease is renewed once discovery serves: the last failure, the longest delay after it, and the queue. */
-    private static long recoveryUs(DiscoveryCallTiming timing) {
-        return HANGING_CALL_US + 2 * timing.maxRetryDelayUs() + SchedulerFixture.QUEUE_US;
+    /**
+     * Returns the maximum time of a recovery: a last call that hangs, the longest delay after it, and the time in the
+     * queue.
+     */
+    private static long maxRecoveryUs(DiscoveryCallTiming timing) {
+        return HANGING_CALL_DELAY_US + 2 * timing.maxRetryDelayUs() + SchedulerFixture.MAX_QUEUE_TIME_US;
     }
 
-    /** Checks each sequence up to a length and returns their number. */
-    private static int walk(DiscoveryCallTiming timing, Jitter jitter, int depth, CallBehavior... before) {
-        if (before.length > 0) {
-            long afterUs = new VirtualDiscovery(timing, SchedulerFixture.terms(), jitter, before).servedAfterUs();
+    /** Checks all sequences that begin with a prefix, up to a length, and returns the number of sequences. */
+    private static int checkSequences(DiscoveryCallTiming timing, Jitter jitter, int maxLength, CallBehavior... prefix) {
+        if (prefix.length > 0) {
+            long recoveryUs = new VirtualDiscovery(timing, SchedulerFixture.terms(), jitter, prefix).measureRecoveryUs();
             assertTrue(
-                    afterUs <= recoveryUs(timing),
-                    () -> Arrays.toString(before) + ": a lease " + afterUs + " us after discovery is available");
+                    recoveryUs <= maxRecoveryUs(timing),
+                    () -> Arrays.toString(prefix) + ": the lease is renewed " + recoveryUs + " us after the last call of the sequence was opened");
         }
-        if (before.length == depth) {
+        if (prefix.length == maxLength) {
             return 1;
         }
-        int visited = 1;
-        CallBehavior[] next = Arrays.copyOf(before, before.length + 1);
+        int sequenceCount = 1;
+        CallBehavior[] next = Arrays.copyOf(prefix, prefix.length + 1);
         for (CallBehavior behavior : CallBehavior.values()) {
             if (behavior != CallBehavior.SERVED) {
-                next[before.length] = behavior;
-                visited += walk(timing, jitter, depth, next.clone());
+                next[prefix.length] = behavior;
+                sequenceCount += checkSequences(timing, jitter, maxLength, next.clone());
             }
         }
-        return visited;
+        return sequenceCount;
     }
 
     @ParameterizedTest
     @CsvSource({"1, 5", "5, 6", "30, 5", "31, 5", "63, 5", "120, 6", "1024, 5"})
-    void leaseExpiresBeforeMissedChangesCountAndIsRenewedInTime(int instances, int depth) {
-        int visited = walk(SchedulerFixture.timing(instances), SchedulerFixture.LONGEST_DELAY, depth)
-                + walk(SchedulerFixture.timing(instances), SchedulerFixture.SHORTEST_DELAY, depth);
-        // 1 + 12 + 144 + ... for either jitter.
-        int kinds = CallBehavior.values().length - 1;
-        assertEquals(2 * (Math.pow(kinds, depth + 1) - 1) / (kinds - 1), visited);
-        System.out.println("fleet of " + instances + ": " + visited + " orders of failures walked");
+    void leaseExpiresBeforeMissedChangesCountAndIsRenewedInTime(int instances, int maxLength) {
+        int sequenceCount = checkSequences(SchedulerFixture.timing(instances), SchedulerFixture.LONGEST_DELAY, maxLength)
+                + checkSequences(SchedulerFixture.timing(instances), SchedulerFixture.SHORTEST_DELAY, maxLength);
+        // For each of the two jitters, 1 + 12 + 144 + ... sequences.
+        int behaviorCount = CallBehavior.values().length - 1;
+        assertEquals(2 * (Math.pow(behaviorCount, maxLength + 1) - 1) / (behaviorCount - 1), sequenceCount);
+        System.out.println("fleet of " + instances + " instances: checked " + sequenceCount + " sequences of call behaviors");
     }
 
-    private static void assertFailsTheWalk(EndpointListLeaseTerms terms, CallBehavior... sequence) {
+    private static void assertCheckFails(EndpointListLeaseTerms terms, CallBehavior... sequence) {
         VirtualDiscovery discovery =
                 new VirtualDiscovery(SchedulerFixture.timing(1), terms, SchedulerFixture.SHORTEST_DELAY, sequence);
-        assertThrows(AssertionError.class, discovery::servedAfterUs);
+        assertThrows(AssertionError.class, discovery::measureRecoveryUs, "the simulation accepts invalid lease terms");
     }
 
-    /** An endpoint list is used however many calls fail. */
+    /** With these terms, the endpoint list is used however many calls fail. */
     @Test
-    void unlimitedLeaseFailsTheWalk() {
-        EndpointListLeaseTerms unbounded =
+    void checkFailsForAnUnlimitedLease() {
+        EndpointListLeaseTerms unlimited =
                 terms(Long.MAX_VALUE / 4, Long.MAX_VALUE / 4, Long.MAX_VALUE / 4, Long.MAX_VALUE / 4);
-        assertFailsTheWalk(unbounded, CallBehavior.WATCH_ENDS, CallBehavior.HANGS);
+        assertCheckFails(unlimited, CallBehavior.WATCH_ENDS, CallBehavior.HANGS);
     }
 
     @Test
-    void leaseWithoutMarginForPausesFailsTheWalk() {
+    void checkFailsForALeaseWithoutMarginForPauses() {
         EndpointListLeaseTerms withoutMargin = terms(6_500_000, 4_500_000, 2_500_000, 500_000);
-        assertFailsTheWalk(withoutMargin, CallBehavior.WATCH_ENDS);
+        assertCheckFails(withoutMargin, CallBehavior.WATCH_ENDS);
     }
 
     @Test
-    void leaseThatIsNotLimitedByAMoveFailsTheWalk() {
+    void checkFailsForALeaseThatIsNotLimitedByAMove() {
         EndpointListLeaseTerms withoutMoves = terms(6_300_000, Long.MAX_VALUE / 4, 2_300_000, 300_000);
-        assertFailsTheWalk(withoutMoves, CallBehavior.WATCH_IS_RESET, CallBehavior.DISCOVERY_MOVES, CallBehavior.HANGS);
+        assertCheckFails(withoutMoves, CallBehavior.WATCH_IS_RESET, CallBehavior.DISCOVERY_MOVES, CallBehavior.HANGS);
     }
 
     @Test
-    void leaseThatIsNotShortenedByTheEndOfAWatchFailsTheWalk() {
-        EndpointListLeaseTerms withoutEnds = terms(6_300_000, 4_300_000, 6_300_000, 300_000);
-        assertFailsTheWalk(withoutEnds, CallBehavior.WATCH_ENDS, CallBehavior.HANGS, CallBehavior.HANGS);
+    void checkFailsForALeaseThatIsNotShortenedByTheEndOfAWatch() {
+        EndpointListLeaseTerms withoutWatchEnds = terms(6_300_000, 4_300_000, 6_300_000, 300_000);
+        assertCheckFails(withoutWatchEnds, CallBehavior.WATCH_ENDS, CallBehavior.HANGS, CallBehavior.HANGS);
     }
 
     @Test
-    void leaseThatIsNotLimitedByAPartialListFailsTheWalk() {
-        EndpointListLeaseTerms withoutParts = terms(6_300_000, 4_300_000, 2_300_000, 6_300_000);
-        assertFailsTheWalk(withoutParts, CallBehavior.WATCH_IS_RESET, CallBehavior.PARTIAL_LIST);
+    void checkFailsForALeaseThatIsNotLimitedByAPartialList() {
+        EndpointListLeaseTerms withoutPartialLists = terms(6_300_000, 4_300_000, 2_300_000, 6_300_000);
+        assertCheckFails(withoutPartialLists, CallBehavior.WATCH_IS_RESET, CallBehavior.PARTIAL_LIST);
     }
 }
--- a/src/test/java/loadbalancer/policy/discovery/EndpointListLeaseTest.java
+++ b/src/test/java/loadbalancer/policy/discovery/EndpointListLeaseTest.java
@@ -10,21 +10,21 @@
 
 import loadbalancer.policy.LoadBalancerSettings;
 
-/** What renews an {@link EndpointListLease}, and when it expires. */
+/** Tests which events renew, shorten or limit an {@link EndpointListLease}, and when it expires. */
 class EndpointListLeaseTest {
     private static final long SECOND_US = 1_000_000;
-    /** The grace of half a second, less the margin for a pause of the process. */
+    /** The drain grace of 0.5 s, less the margin of 0.2 s for a pause of the process. */
     private static final long GRACE_US = 300_000;
 
-    private static LoadBalancerSettings settings(boolean polled) {
+    private static LoadBalancerSettings settings(boolean isPolled) {
         LoadBalancerSettings settings = new LoadBalancerSettings();
-        settings.endpointListPolled = polled;
+        settings.endpointListPolled = isPolled;
         settings.drainGraceUs = 500_000;
         return settings;
     }
 
-    private static EndpointListLease lease(boolean polled) {
-        return new EndpointListLease(EndpointListLeaseTerms.of(settings(polled)));
+    private static EndpointListLease lease(boolean isPolled) {
+        return new EndpointListLease(EndpointListLeaseTerms.of(settings(isPolled)));
     }
 
     @Test
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void leaseIsShorterIfTheGraceIsShorterThanAPause() {
+    void leaseIsShorterThanTheNotificationDelayIfTheGraceIsShorterThanAPause() {
         LoadBalancerSettings settings = settings(true);
         settings.drainGraceUs = 0;
         assertEquals(5_800_000, EndpointListLeaseTerms.of(settings).afterConfirmationUs());
--- a/src/test/java/loadbalancer/policy/discovery/CrowdedDiscovery.java
+++ b/src/test/java/loadbalancer/policy/discovery/OverloadedDiscovery.java
@@ -10,55 +10,67 @@
 import loadbalancer.policy.LoadBalancerSettings;
 
 /**
- * Instances that start together and a discovery that serves calls one after another, in virtual time. A call that was
- * queued for too long is rejected, and discovery spends the time of a response on it all the same. Each instance has the
- * scheduler and the lease of production.
+ * Simulates, in virtual time, instances that start at the same time and a discovery that serves calls one after
+ * another. A call that has been queued for too long is rejected, but discovery still spends the service time on it.
+ * Each instance uses the scheduler and the lease of production.
  */
-final class CrowdedDiscovery {
+final class OverloadedDiscovery {
     private static final long QUEUE_TIMEOUT_US = 2_000_000;
-    /** The queue holds rejected calls too; a call that does not fit is rejected at once. */
+    /**
+     * The queue also holds calls that have timed out. A call that arrives while the queue is full is rejected early.
+     */
     private static final int QUEUE_CAPACITY = 50;
 
-    private static final long REJECTION_US = 5_000;
-    private static final long HEARTBEAT_US = 2_000_000;
+    private static final long REJECTION_DELAY_US = 5_000;
+    private static final long HEARTBEAT_INTERVAL_US = 2_000_000;
 
     /**
-     * The leases of the instances.
+     * The leases and calls of all instances.
      *
-     * @param leasedAtUs when each first had a lease, in order; those that never had one are missing
-     * @param calls how many calls all of them made
+     * @param leasedAtUs the times at which instances were first granted a lease, in ascending order, without the
+     *     instances that never were
+     * @param calls the number of calls of all instances
      */
     record Result(List<Long> leasedAtUs, int calls) {
-        /** When so large a part of the instances had a lease, in seconds; infinite if fewer ever had. */
-        double leasedBy(double part, int instances) {
-            int count = (int) Math.ceil(part * instances);
+        /**
+         * Returns the seconds until a share of the instances had a lease, or infinity if fewer instances ever had one.
+         */
+        double secondsUntilLeased(double share, int instances) {
+            int count = (int) Math.ceil(share * instances);
             return count > leasedAtUs.size() ? Double.POSITIVE_INFINITY : leasedAtUs.get(count - 1) / 1e6;
         }
     }
 
     private record Event(long atUs, Runnable runnable) {}
 
-    private record QueuedCall(InstanceClient client, DiscoveryCallId call, long sinceUs) {}
+    private record QueuedCall(InstanceClient client, DiscoveryCallId call, long queuedAtUs) {}
 
     private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingLong(Event::atUs));
     private final ArrayDeque<QueuedCall> queue = new ArrayDeque<>();
     private final List<InstanceClient> clients = new ArrayList<>();
-    private final long serviceUs;
-    private final long downUntilUs;
+    private final long serviceTimeUs;
+    private final long outageUntilUs;
     private long nowUs;
     private int calls;
-    private boolean busy;
+    private boolean isServing;
 
-    /** Creates a discovery that serves so many calls a second, and none before a time. */
-    CrowdedDiscovery(int instances, int starting, double callsPerS, long downUntilUs, long seed) {
-        serviceUs = (long) (1e6 / callsPerS);
-        this.downUntilUs = downUntilUs;
+    /**
+     * Creates instances that have not started yet, and their discovery.
+     *
+     * @param instances the number of instances in the settings
+     * @param startingInstances the number of instances that start
+     * @param callsPerSecond the number of calls that discovery can serve in a second
+     * @param outageUntilUs the time before which discovery serves no call
+     */
+    OverloadedDiscovery(int instances, int startingInstances, double callsPerSecond, long outageUntilUs, long seed) {
+        serviceTimeUs = (long) (1e6 / callsPerSecond);
+        this.outageUntilUs = outageUntilUs;
         SplittableRandom random = new SplittableRandom(seed);
         LoadBalancerSettings settings = new LoadBalancerSettings();
         settings.endpointListPolled = true;
         settings.drainGraceUs = 500_000;
         settings.instances = instances;
-        for (int i = 0; i < starting; i++) {
+        for (int i = 0; i < startingInstances; i++) {
             clients.add(new InstanceClient(settings, random.split()));
         }
     }
@@ -67,12 +79,12 @@
         private final DiscoveryCallScheduler scheduler;
         private final List<DiscoveryCallId> openCalls = new ArrayList<>();
         private DiscoveryCallId watch;
-        private long firstLeasedUs = -1;
+        private long firstLeasedAtUs = -1;
 
         InstanceClient(LoadBalancerSettings settings, SplittableRandom random) {
             EndpointListLease lease = new EndpointListLease(EndpointListLeaseTerms.of(settings));
             scheduler = new DiscoveryCallScheduler(
-                    DiscoveryCallTiming.of(settings), (least, most) -> random.nextLong(least, most + 1), lease, this);
+                    DiscoveryCallTiming.of(settings), (minUs, maxUs) -> random.nextLong(minUs, maxUs + 1), lease, this);
         }
 
         @Override
@@ -80,8 +92,8 @@
             calls++;
             openCalls.add(call);
             boolean isFull = queue.size() >= QUEUE_CAPACITY;
-            at(isFull ? REJECTION_US : QUEUE_TIMEOUT_US, () -> reject(call));
-            if (!isFull && nowUs >= downUntilUs) {
+            scheduleAfter(isFull ? REJECTION_DELAY_US : QUEUE_TIMEOUT_US, () -> reject(call));
+            if (!isFull && nowUs >= outageUntilUs) {
                 queue.add(new QueuedCall(this, call, nowUs));
                 serveNext();
             }
@@ -109,54 +121,54 @@
             if (openCalls.contains(call)) {
                 scheduler.onMessage(nowUs, call);
                 scheduler.onListConfirmed(nowUs, call);
-                firstLeasedUs = firstLeasedUs < 0 ? nowUs : firstLeasedUs;
-                at(HEARTBEAT_US, () -> sendHeartbeat(call));
+                firstLeasedAtUs = firstLeasedAtUs < 0 ? nowUs : firstLeasedAtUs;
+                scheduleAfter(HEARTBEAT_INTERVAL_US, () -> sendHeartbeat(call));
             }
         }
     }
 
-    private void at(long afterUs, Runnable runnable) {
-        events.add(new Event(nowUs + afterUs, runnable));
+    private void scheduleAfter(long delayUs, Runnable runnable) {
+        events.add(new Event(nowUs + delayUs, runnable));
     }
 
     private void serveNext() {
-        if (busy || queue.isEmpty()) {
+        if (isServing || queue.isEmpty()) {
             return;
         }
-        busy = true;
+        isServing = true;
         QueuedCall next = queue.poll();
-        at(serviceUs, () -> {
-            busy = false;
-            if (nowUs - next.sinceUs < QUEUE_TIMEOUT_US) {
+        scheduleAfter(serviceTimeUs, () -> {
+            isServing = false;
+            if (nowUs - next.queuedAtUs < QUEUE_TIMEOUT_US) {
                 next.client.serve(next.call);
             }
             serveNext();
         });
     }
 
-    /** Runs for a time; all instances start at 0. */
+    /** Starts all instances at time 0 and runs the simulation for a duration. */
     Result run(long durationUs) {
         clients.forEach(client -> client.scheduler.start(0));
         while (nowUs < durationUs) {
-            InstanceClient first = clients.get(0);
+            InstanceClient nextClient = clients.get(0);
             for (InstanceClient client : clients) {
-                first = client.scheduler.nextTimerUs() < first.scheduler.nextTimerUs() ? client : first;
+                nextClient = client.scheduler.nextTimerUs() < nextClient.scheduler.nextTimerUs() ? client : nextClient;
             }
-            long timerUs = first.scheduler.nextTimerUs();
+            long timerAtUs = nextClient.scheduler.nextTimerUs();
             Event event = events.peek();
-            long nextUs = event == null ? timerUs : Math.min(event.atUs, timerUs);
-            nowUs = Math.max(nowUs, nextUs);
-            if (event != null && event.atUs <= timerUs) {
+            long nextAtUs = event == null ? timerAtUs : Math.min(event.atUs, timerAtUs);
+            nowUs = Math.max(nowUs, nextAtUs);
+            if (event != null && event.atUs <= timerAtUs) {
                 events.poll().runnable.run();
             } else {
-                first.scheduler.onTimer(nowUs);
+                nextClient.scheduler.onTimer(nowUs);
             }
         }
-        List<Long> leased = clients.stream()
-                .map(client -> client.firstLeasedUs)
+        List<Long> leasedAtUs = clients.stream()
+                .map(client -> client.firstLeasedAtUs)
                 .filter(atUs -> atUs >= 0)
                 .sorted()
                 .toList();
-        return new Result(leased, calls);
+        return new Result(leasedAtUs, calls);
     }
 }
--- a/src/test/java/loadbalancer/policy/discovery/SchedulerFixture.java
+++ b/src/test/java/loadbalancer/policy/discovery/SchedulerFixture.java
@@ -4,10 +4,10 @@
 
 import loadbalancer.policy.LoadBalancerSettings;
 
-/** Settings, delays and recorded actions of a {@link DiscoveryCallScheduler} under test. */
+/** Creates settings, delays and schedulers for the tests of {@link DiscoveryCallScheduler}. */
 final class SchedulerFixture {
-    /** The longest time for which a reachable discovery queues a call. */
-    static final long QUEUE_US = 3_000_000;
+    /** The maximum time for which a reachable discovery queues a call. */
+    static final long MAX_QUEUE_TIME_US = 3_000_000;
 
     static final Jitter SHORTEST_DELAY = (min, max) -> min;
     static final Jitter LONGEST_DELAY = (min, max) -> max;
@@ -30,8 +30,8 @@
         return EndpointListLeaseTerms.of(settings(1));
     }
 
-    /** A scheduler whose actions are recorded as text. */
-    static DiscoveryCallScheduler recording(int instances, List<String> actions) {
+    /** Creates a scheduler whose actions are added to a list as text, such as {@code open 1}. */
+    static DiscoveryCallScheduler newRecordingScheduler(int instances, List<String> actions) {
         DiscoveryCallActions recorder = new DiscoveryCallActions() {
             @Override
             public void open(DiscoveryCallId call) {
--- a/src/test/java/loadbalancer/policy/discovery/VirtualDiscovery.java
+++ b/src/test/java/loadbalancer/policy/discovery/VirtualDiscovery.java
@@ -8,15 +8,18 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** Discovery in virtual time: the first calls have the behaviors of a sequence, all later ones are served. */
+/**
+ * A simulated discovery in virtual time. The first calls are handled as a sequence of {@link CallBehavior} says; all
+ * later calls are served. After each event, it checks that the lease expires in time.
+ */
 final class VirtualDiscovery implements DiscoveryCallActions {
-    /** By the protocol, a missed change counts as notified so long after discovery had it. */
-    private static final long NOTIFICATION_US = 6_000_000;
-    /** By the protocol, all changes count as notified so long after a signal that moves discovery. */
-    private static final long NOTIFICATION_AFTER_MOVE_US = 4_000_000;
-    /** By the protocol, what a watch that has ended missed counts as notified so soon. */
-    private static final long NOTIFICATION_AFTER_END_US = 2_000_000;
-    /** Half a second, less 0.15 s for a process that is paused. */
+    /** The protocol counts a missed change as notified this long after discovery received it. */
+    private static final long NOTIFICATION_DELAY_US = 6_000_000;
+    /** The protocol counts all changes as notified this long after the signal that discovery has another address. */
+    private static final long NOTIFICATION_DELAY_AFTER_MOVE_US = 4_000_000;
+    /** The protocol counts a change that an ended watch missed as notified this long after the end of the watch. */
+    private static final long NOTIFICATION_DELAY_AFTER_WATCH_END_US = 2_000_000;
+    /** The drain grace of 0.5 s, less 0.15 s for a pause of the process. */
     private static final long GRACE_US = 500_000 - 150_000;
 
     /** The watch, one at the previous address, and three pending calls. */
@@ -31,21 +34,27 @@
     private final List<DiscoveryCallId> openCalls = new ArrayList<>();
     private long nowUs;
     private int callCount;
-    private long availableFromUs = -1;
+    private long lastSequenceCallAtUs = -1;
     private long servedAtUs = -1;
 
-    /** Whether discovery has ever sent a message. */
+    /** Whether a call to the current address of discovery has ever received a message. */
     private boolean hasSentMessage;
-    /** From this time on changes may have been missed, or count again as discovery was back. */
-    private long changesMissedFromUs;
-    /** When a partial list or a move counts as notified, which only a list can renew. */
-    private long notificationBoundUs = Long.MAX_VALUE;
-    /** When the watch has ended, or was last refused a connection after that; else -1. */
+    /** The time of the last message or refused connection; the proxy may have missed changes after that time. */
+    private long lastVerifiedAtUs;
+    /**
+     * The time at which changes count as notified after a partial list or an address change; only a list lifts this
+     * limit.
+     */
+    private long maxNotifiedAtUs = Long.MAX_VALUE;
+    /**
+     * The time at which the watch ended, or of the last refused connection after its end; -1 if the watch has not
+     * ended.
+     */
     private long watchEndedAtUs = -1;
 
     private DiscoveryCallId watch;
-    /** The calls before this one went to a previous address of discovery. */
-    private long firstCallAtAddress = 1;
+    /** The number of the first call to the current address of discovery. */
+    private long firstCallAtCurrentAddress = 1;
 
     VirtualDiscovery(
             DiscoveryCallTiming timing, EndpointListLeaseTerms terms, Jitter jitter, CallBehavior... sequence) {
@@ -57,11 +66,11 @@
     @Override
     public void open(DiscoveryCallId call) {
         openCalls.add(call);
-        assertTrue(openCalls.size() <= MAX_OPEN_CALLS, () -> openCalls.size() + " calls are open at once");
+        assertTrue(openCalls.size() <= MAX_OPEN_CALLS, () -> openCalls.size() + " calls are open at the same time");
         CallBehavior behavior = callCount < sequence.length ? sequence[callCount] : CallBehavior.SERVED;
         callCount++;
         if (callCount == sequence.length) {
-            availableFromUs = nowUs;
+            lastSequenceCallAtUs = nowUs;
         }
         schedule(behavior, call);
     }
@@ -70,9 +79,9 @@
         switch (behavior) {
             case HANGS -> {}
             case CONNECTION_REFUSED -> refuseConnection(call);
-            case FAILS_AT_ONCE -> fail(call, 5_000);
-            case FAILS_LATE -> fail(call, 2_000_000);
-            case FAILS_LATER -> fail(call, SchedulerFixture.QUEUE_US);
+            case FAILS_IMMEDIATELY -> fail(call, 5_000);
+            case FAILS_AFTER_2_SECONDS -> fail(call, 2_000_000);
+            case FAILS_AFTER_3_SECONDS -> fail(call, SchedulerFixture.MAX_QUEUE_TIME_US);
             case WATCH_HANGS -> sendMessage(call, 10_000);
             case WATCH_ENDS -> {
                 sendMessage(call, 10_000);
@@ -88,24 +97,24 @@
                 endWatch(call, 2_500_000);
             }
             case QUEUED_AND_ENDS -> {
-                sendMessage(call, SchedulerFixture.QUEUE_US);
-                endWatch(call, SchedulerFixture.QUEUE_US + 10_000);
+                sendMessage(call, SchedulerFixture.MAX_QUEUE_TIME_US);
+                endWatch(call, SchedulerFixture.MAX_QUEUE_TIME_US + 10_000);
             }
-            case DISCOVERY_MOVES -> at(500_000, null, this::moveDiscovery);
+            case DISCOVERY_MOVES -> scheduleAfter(500_000, null, this::moveDiscovery);
             case SERVED -> {
-                sendMessage(call, SchedulerFixture.QUEUE_US);
-                at(SchedulerFixture.QUEUE_US, call, () -> servedAtUs = nowUs);
+                sendMessage(call, SchedulerFixture.MAX_QUEUE_TIME_US);
+                scheduleAfter(SchedulerFixture.MAX_QUEUE_TIME_US, call, () -> servedAtUs = nowUs);
             }
             default -> throw new AssertionError(behavior);
         }
     }
 
-    private void sendMessage(DiscoveryCallId call, long afterUs) {
-        at(afterUs, call, () -> {
-            if (call.number() >= firstCallAtAddress) {
+    private void sendMessage(DiscoveryCallId call, long delayUs) {
+        scheduleAfter(delayUs, call, () -> {
+            if (call.number() >= firstCallAtCurrentAddress) {
                 hasSentMessage = true;
-                changesMissedFromUs = nowUs;
-                notificationBoundUs = Long.MAX_VALUE;
+                lastVerifiedAtUs = nowUs;
+                maxNotifiedAtUs = Long.MAX_VALUE;
                 watchEndedAtUs = -1;
                 watch = call;
             }
@@ -114,15 +123,15 @@
         });
     }
 
-    private void fail(DiscoveryCallId call, long afterUs) {
-        at(afterUs, call, () -> {
+    private void fail(DiscoveryCallId call, long delayUs) {
+        scheduleAfter(delayUs, call, () -> {
             openCalls.remove(call);
             scheduler.onCallEnded(nowUs, call, DiscoveryCallOutcome.FAILED);
         });
     }
 
-    private void endWatch(DiscoveryCallId call, long afterUs) {
-        at(afterUs, call, () -> {
+    private void endWatch(DiscoveryCallId call, long delayUs) {
+        scheduleAfter(delayUs, call, () -> {
             openCalls.remove(call);
             if (call.equals(watch)) {
                 watchEndedAtUs = nowUs;
@@ -132,52 +141,60 @@
     }
 
     private void sendPartialList(DiscoveryCallId call) {
-        at(10_000, call, () -> {
-            notificationBoundUs = Math.min(notificationBoundUs, nowUs);
+        scheduleAfter(10_000, call, () -> {
+            maxNotifiedAtUs = Math.min(maxNotifiedAtUs, nowUs);
             scheduler.onPartialList(nowUs);
         });
         fail(call, 1_000_000);
     }
 
     private void refuseConnection(DiscoveryCallId call) {
-        at(1_000, call, () -> {
+        scheduleAfter(1_000, call, () -> {
             openCalls.remove(call);
-            changesMissedFromUs = nowUs;
+            lastVerifiedAtUs = nowUs;
             watchEndedAtUs = watchEndedAtUs < 0 ? -1 : nowUs;
             scheduler.onCallEnded(nowUs, call, DiscoveryCallOutcome.CONNECTION_REFUSED);
         });
     }
 
     private void moveDiscovery() {
-        notificationBoundUs = Math.min(notificationBoundUs, nowUs + NOTIFICATION_AFTER_MOVE_US);
-        firstCallAtAddress = callCount + 1L;
+        maxNotifiedAtUs = Math.min(maxNotifiedAtUs, nowUs + NOTIFICATION_DELAY_AFTER_MOVE_US);
+        firstCallAtCurrentAddress = callCount + 1L;
         scheduler.onDiscoveryMoved(nowUs, nowUs);
     }
 
-    /** Schedules an event of a call, or of discovery itself if the call is null. */
-    private void at(long afterUs, DiscoveryCallId call, Runnable runnable) {
-        events.add(new Event(nowUs + afterUs, call, runnable));
+    /**
+     * Schedules an event of a call, or of discovery itself if the call is null. The event is dropped if the call is
+     * closed.
+     */
+    private void scheduleAfter(long delayUs, DiscoveryCallId call, Runnable runnable) {
+        events.add(new Event(nowUs + delayUs, call, runnable));
     }
 
     @Override
     public void close(DiscoveryCallId call, String reason) {
-        assertTrue(openCalls.remove(call), "a call is closed that is not open");
+        assertTrue(openCalls.remove(call), "the scheduler closed a call that is not open");
     }
 
-    /** Whether the lease expires before any change that may have been missed counts as notified. */
-    private boolean isLeaseShortEnough() {
+    /**
+     * Returns whether the lease expires within the grace after a change that may have been missed counts as notified.
+     */
+    private boolean isLeaseExpiryInTime() {
         if (!hasSentMessage) {
             return lease.expiresAtUs() == EndpointListLease.NOT_GRANTED;
         }
-        long notifiedAtUs = Math.min(notificationBoundUs, changesMissedFromUs + NOTIFICATION_US);
+        long notifiedAtUs = Math.min(maxNotifiedAtUs, lastVerifiedAtUs + NOTIFICATION_DELAY_US);
         if (watchEndedAtUs >= 0) {
-            notifiedAtUs = Math.min(notifiedAtUs, watchEndedAtUs + NOTIFICATION_AFTER_END_US);
+            notifiedAtUs = Math.min(notifiedAtUs, watchEndedAtUs + NOTIFICATION_DELAY_AFTER_WATCH_END_US);
         }
         return lease.expiresAtUs() <= notifiedAtUs + GRACE_US;
     }
 
-    /** Runs until a call is served, and returns how long after the last of the sequence that was. */
-    long servedAfterUs() {
+    /**
+     * Runs until a call is served, and returns the time from the last call of the sequence to the message of the served
+     * call.
+     */
+    long measureRecoveryUs() {
         scheduler.start(0);
         while (servedAtUs < 0) {
             Event event = events.peek();
@@ -188,16 +205,16 @@
                     event.runnable.run();
                 }
             } else {
-                assertTrue(scheduler.nextTimerUs() != DiscoveryCallScheduler.NEVER, "no timer is due");
+                assertTrue(scheduler.nextTimerUs() != DiscoveryCallScheduler.NEVER, "no event is pending and the scheduler has no timer");
                 nowUs = Math.max(nowUs, scheduler.nextTimerUs());
                 scheduler.onTimer(nowUs);
             }
             assertTrue(
-                    isLeaseShortEnough(),
-                    () -> Arrays.toString(sequence) + ": the lease expires at " + lease.expiresAtUs()
-                            + " us, changes may be missed from " + changesMissedFromUs + " us on");
+                    isLeaseExpiryInTime(),
+                    () -> Arrays.toString(sequence) + ": the lease expires too late, at " + lease.expiresAtUs()
+                            + " us; changes may have been missed since " + lastVerifiedAtUs + " us");
         }
-        assertTrue(lease.isValid(nowUs));
-        return servedAtUs - availableFromUs;
+        assertTrue(lease.isValid(nowUs), "the served call did not renew the lease");
+        return servedAtUs - lastSequenceCallAtUs;
     }
 }
--- a/src/test/java/loadbalancer/proxy/config/ProxyConfigurationTest.java
+++ b/src/test/java/loadbalancer/proxy/config/ProxyConfigurationTest.java
@@ -23,7 +23,7 @@
 import loadbalancer.policy.Idempotency;
 import loadbalancer.proxy.lifecycle.ProxyFixture;
 
-/** The configuration file and the environment of the proxy. */
+/** Tests how the configuration is loaded from the configuration file and the environment. */
 class ProxyConfigurationTest {
     private static final String CONFIG =
             """
@@ -40,17 +40,17 @@
             """;
 
     @TempDir
-    private Path folder;
+    private Path tempFolder;
 
-    private ProxyConfiguration load(String config, Map<String, String> more) throws Exception {
-        Path file = Files.writeString(folder.resolve("config.json"), config);
-        Map<String, String> env = new HashMap<>(more);
+    private ProxyConfiguration load(String config, Map<String, String> extraEnv) throws Exception {
+        Path file = Files.writeString(tempFolder.resolve("config.json"), config);
+        Map<String, String> env = new HashMap<>(extraEnv);
         env.put("PROXY_CONFIG", file.toString());
         return ProxyConfiguration.load(env);
     }
 
     @Test
-    void fileWithAThousandInstancesAndEndpointsIsLoaded() throws Exception {
+    void fileWith1024InstancesAndEndpointsIsLoaded() throws Exception {
         StringBuilder peers = new StringBuilder("\"127.0.0.1:7946\"");
         String[] endpoints = new String[1_024];
         for (int i = 0; i < endpoints.length; i++) {
@@ -121,7 +121,7 @@
                 "Terminating | Asleep | known.targets[0].state",
                 "\"settings\":{ | \"sittings\":{ | settings",
             })
-    void invalidFieldIsNamedInTheMessage(String valid, String invalid, String field) {
+    void exceptionForAnInvalidFieldBeginsWithTheField(String valid, String invalid, String field) {
         ConfigurationException e =
                 assertThrows(ConfigurationException.class, () -> load(CONFIG.replace(valid, invalid), Map.of()));
         assertTrue(e.getMessage().startsWith(field + " "), e.getMessage());
@@ -132,10 +132,10 @@
         String java = ProcessHandle.current().info().command().orElseThrow();
         ProcessBuilder builder =
                 new ProcessBuilder(java, "-cp", System.getProperty("java.class.path"), Main.class.getName(), "proxy");
-        builder.environment().put("PROXY_CONFIG", folder.resolve("none.json").toString());
+        builder.environment().put("PROXY_CONFIG", tempFolder.resolve("none.json").toString());
         Process process = builder.start();
         String output = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertTrue(process.waitFor(20, TimeUnit.SECONDS));
+        assertTrue(process.waitFor(20, TimeUnit.SECONDS), "the process has not ended");
         assertEquals(2, process.exitValue());
         assertEquals(1, output.lines().count(), output);
         assertTrue(output.contains("PROXY_CONFIG"), output);
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryCallPhaseTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryCallPhaseTest.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The transitions of {@link DiscoveryCallPhase}. */
+/** Tests which transitions {@link DiscoveryCallPhase} allows. */
 class DiscoveryCallPhaseTest {
     @Test
-    void phasesFollowInOrder() {
+    void phasesMayFollowInOrder() {
         DiscoveryCallPhase phase = DiscoveryCallPhase.CONNECTING
                 .transitionTo(DiscoveryCallPhase.AWAITING_FIRST_MESSAGE)
                 .transitionTo(DiscoveryCallPhase.WATCHING)
@@ -21,7 +21,7 @@
 
     @ParameterizedTest
     @EnumSource(value = DiscoveryCallPhase.class, mode = EnumSource.Mode.EXCLUDE, names = "CLOSED")
-    void callMayBeClosedInEachPhase(DiscoveryCallPhase phase) {
+    void callMayBeClosedInEveryOtherPhase(DiscoveryCallPhase phase) {
         assertEquals(DiscoveryCallPhase.CLOSED, phase.transitionTo(DiscoveryCallPhase.CLOSED));
     }
 
@@ -39,7 +39,7 @@
         "CLOSED, WATCHING",
         "CLOSED, CLOSED"
     })
-    void otherTransitionsAreIllegal(DiscoveryCallPhase phase, DiscoveryCallPhase next) {
+    void otherTransitionsAreRejected(DiscoveryCallPhase phase, DiscoveryCallPhase next) {
         assertThrows(IllegalStateException.class, () -> phase.transitionTo(next));
     }
 }
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -19,7 +19,7 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** The calls of {@link DiscoveryClient} and which lists it applies. */
+/** Tests which calls {@link DiscoveryClient} opens and closes, and which lists it applies. */
 class DiscoveryClientTest {
     private static final DiscoveryCallTiming SHORT_TIMING = new DiscoveryCallTiming(50_000, 100_000, 0, 1_000);
 
@@ -47,16 +47,16 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void lowerVersionIsDroppedAndTheCompleteListRequested(boolean complete) throws Exception {
+    void listOfALowerVersionIsDroppedAndTheCompleteListIsRequested(boolean isComplete) throws Exception {
         try (ProxyFixture proxy = ProxyFixture.silent()) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             ScriptedHttpServer.next(proxy.discovery.requests);
             ScriptedHttpServer.Peer peer = ScriptedHttpServer.next(proxy.discovery.peers);
             peer.write(ProxyFixture.chunk(
                     ProxyFixture.list(43, false, "s0=10.0.0.1:80=Terminating") + "\n" + ProxyFixture.list(43, false)
-                            + "\n" + ProxyFixture.list(42, complete, RecordedDiscovery.ENTRY) + "\n"));
+                            + "\n" + ProxyFixture.list(42, isComplete, RecordedDiscovery.ENTRY) + "\n"));
             assertEquals("43 changes 1", ScriptedHttpServer.next(recorded.events));
-            assertEquals("43 changes 0", ScriptedHttpServer.next(recorded.events), "the same version again is applied");
+            assertEquals("43 changes 0", ScriptedHttpServer.next(recorded.events), "a list with the same version is applied");
             assertEquals(RecordedDiscovery.CALL_ENDED, ScriptedHttpServer.next(recorded.events));
             assertEquals(
                     "/discovery/hosts?watch=1",
@@ -64,7 +64,7 @@
             ScriptedHttpServer.next(proxy.discovery.peers)
                     .write(ProxyFixture.chunk(ProxyFixture.list(7, true, RecordedDiscovery.ENTRY)));
             assertEquals(
-                    "7 complete 1", ScriptedHttpServer.next(recorded.events), "discovery has restarted its versions");
+                    "7 complete 1", ScriptedHttpServer.next(recorded.events), "a complete list after a restart of the versions is applied");
         }
     }
 
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Calls are opened beside an unresponsive one, which is closed once there are too many. */
+    /** Asserts that calls are opened beside an unresponsive one, and that one is closed once too many are pending. */
     private static void assertFurtherCallsAreOpenedAndOneIsClosed(ProxyFixture proxy) throws Exception {
         for (int call = 1; call <= 4; call++) {
             ScriptedHttpServer.next(proxy.discovery.requests);
@@ -102,7 +102,7 @@
     void callWithBytesButWithoutAMessageIsUnresponsive() throws Exception {
         try (ProxyFixture proxy = new ProxyFixture(new ScriptedHttpServer((request, peer) -> {
             peer.write(ProxyFixture.watchHead());
-            // Bytes of an object without an end are not a message.
+            // Bytes of an incomplete object do not count as a message.
             peer.write(ProxyFixture.chunk("{\"rev\":"));
             while (true) {
                 peer.write(ProxyFixture.chunk(" "));
@@ -130,25 +130,25 @@
             ScriptedHttpServer.Peer hedged = ScriptedHttpServer.next(proxy.discovery.peers);
             unresponsive.write(ProxyFixture.chunk(ProxyFixture.list(43, false, RecordedDiscovery.ENTRY) + "\n"));
             assertEquals("43 changes 1", ScriptedHttpServer.next(recorded.events));
-            assertEquals(hedged, ScriptedHttpServer.next(proxy.discovery.ended), "the watch has sent another message");
+            assertEquals(hedged, ScriptedHttpServer.next(proxy.discovery.ended), "the pending call is closed because the watch has received a message");
             ScriptedHttpServer.Peer next = ScriptedHttpServer.next(proxy.discovery.peers);
             next.write(ProxyFixture.chunk(ProxyFixture.list(44, false, RecordedDiscovery.ENTRY) + "\n"));
             assertEquals("44 changes 1", ScriptedHttpServer.next(recorded.events));
             assertEquals(
-                    unresponsive, ScriptedHttpServer.next(proxy.discovery.ended), "a newer call has become the watch");
+                    unresponsive, ScriptedHttpServer.next(proxy.discovery.ended), "the previous watch is closed because a newer call has become the watch");
         }
     }
 
     @Test
-    void leaseIsShorterThanThePollIntervalAndTheGrace() {
+    void leaseIsShorterThanTheSumOfPollIntervalAndGrace() {
         LoadBalancerSettings settings = RecordedDiscovery.polledSettings();
         settings.pollIntervalUs = 3_000_000;
         long termUs = EndpointListLeaseTerms.of(settings).afterConfirmationUs();
-        assertTrue(termUs < settings.pollIntervalUs + settings.drainGraceUs, termUs + " us");
+        assertTrue(termUs < settings.pollIntervalUs + settings.drainGraceUs, "the lease is valid for " + termUs + " us");
     }
 
     @Test
-    void rejectedCallIsRetriedAndItsListApplied() throws Exception {
+    void listIsAppliedAfterARejectedCallIsRetried() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
                 ScriptedHttpServer discovery = new ScriptedHttpServer((request, peer) -> peer.write(
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void completeListIsRequestedAfterAMoveWithoutAFailedCall() throws Exception {
+    void completeListIsRequestedFromTheNewAddressOfDiscoveryWithoutAFailedCall() throws Exception {
         try (ProxyFixture proxy = ProxyFixture.silent();
                 ScriptedHttpServer moved = new ScriptedHttpServer((request, peer) -> peer.write(ProxyFixture.watchHead()
                         + ProxyFixture.chunk(ProxyFixture.list(7, true, RecordedDiscovery.ENTRY) + "\n")))) {
@@ -179,7 +179,7 @@
                     ScriptedHttpServer.next(moved.requests).path());
             assertEquals("7 complete 1", ScriptedHttpServer.next(recorded.events));
             ScriptedHttpServer.next(proxy.discovery.ended);
-            // A move to the same address keeps the watch; a later call goes to the new address too.
+            // A reload with the same address keeps the watch open. The call after the watch goes to the new address too.
             proxy.loop.execute(() -> recorded.client.moveTo(newAddress, new SystemClock().nowUs()));
             ScriptedHttpServer.next(moved.peers).reset();
             assertEquals(RecordedDiscovery.CALL_ENDED, ScriptedHttpServer.next(recorded.events));
@@ -192,7 +192,7 @@
     }
 
     @Test
-    void pushedListsAreWatchedBeforeClientsCanConnect() throws Exception {
+    void pushedListIsAppliedBeforeRequestsAreRouted() throws Exception {
         try (ScriptedHttpServer draining = ScriptedHttpServer.serving("draining");
                 ScriptedHttpServer ready = ScriptedHttpServer.serving("ready");
                 ScriptedHttpServer agent = new ScriptedHttpServer((request, peer) -> {
@@ -217,7 +217,7 @@
             assertEquals(
                     "/discovery/hosts?watch=1&after=1",
                     ScriptedHttpServer.next(agent.requests).path());
-            // A watch that ends is opened again without an action of the policy.
+            // The client opens a new watch after a reset without an action of the policy.
             ScriptedHttpServer.next(agent.peers).reset();
             assertEquals(
                     "/discovery/hosts?watch=1&after=2",
@@ -230,9 +230,9 @@
         }
     }
 
-    /** The changes of an agent count as notified at once, so the cached list gives no lease. */
+    /** Changes that an agent pushes count as notified immediately, so the cached list does not grant a lease. */
     @Test
-    void proxyIsNotReadyAndRejectsRequestsWithoutTheAgentThatPushesLists() throws Exception {
+    void proxyIsNotReadyAndRejectsRequestsIfTheAgentIsNotReachable() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
                 ProxyFixture proxy = ProxyFixture.silent()) {
             proxy.settings.endpointListPolled = false;
--- a/src/test/java/loadbalancer/proxy/discovery/EndpointListFormatTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/EndpointListFormatTest.java
@@ -17,7 +17,7 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** How endpoint lists may be split, indented and malformed. */
+/** Tests how the client of discovery handles endpoint lists that are split, indented, too long or malformed. */
 class EndpointListFormatTest {
     private static String indented(String list) throws IOException {
         ObjectMapper json = new ObjectMapper();
@@ -30,9 +30,9 @@
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             ScriptedHttpServer.Peer peer = ScriptedHttpServer.next(proxy.discovery.peers);
             String indented = indented(ProxyFixture.list(42, true, RecordedDiscovery.ENTRY, "s1=10.0.0.2:80=Ready"));
-            assertTrue(indented.lines().count() > 10);
-            for (char each : (indented + "\n\n").toCharArray()) {
-                peer.write(ProxyFixture.chunk(Character.toString(each)));
+            assertTrue(indented.lines().count() > 10, "the list is not indented");
+            for (char character : (indented + "\n\n").toCharArray()) {
+                peer.write(ProxyFixture.chunk(Character.toString(character)));
             }
             assertEquals("42 complete 2", ScriptedHttpServer.next(recorded.events));
             peer.write(ProxyFixture.chunk(ProxyFixture.list(43, false, RecordedDiscovery.ENTRY)
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void indentedListOfAThousandEndpointsIsParsedInPieces() throws Exception {
+    void indentedListOf1024EndpointsIsParsedInPieces() throws Exception {
         try (ProxyFixture proxy = ProxyFixture.silent()) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             ScriptedHttpServer.Peer peer = ScriptedHttpServer.next(proxy.discovery.peers);
@@ -54,15 +54,15 @@
                 entries[i] = "server-of-a-large-fleet-" + i + "=127.100.200." + i % 250 + ":18080=Ready";
             }
             String list = indented(ProxyFixture.list(42, true, entries));
-            for (int at = 0; at < list.length(); at += 997) {
-                peer.write(ProxyFixture.chunk(list.substring(at, Math.min(list.length(), at + 997))));
+            for (int offset = 0; offset < list.length(); offset += 997) {
+                peer.write(ProxyFixture.chunk(list.substring(offset, Math.min(list.length(), offset + 997))));
             }
             assertEquals("42 complete 1024", ScriptedHttpServer.next(recorded.events));
         }
     }
 
     @Test
-    void lengthOfAnObjectIsLimited() throws Exception {
+    void objectThatExceedsTheMaximumLengthEndsTheWatch() throws Exception {
         try (ProxyFixture proxy = new ProxyFixture(new ScriptedHttpServer((request, peer) -> {
             peer.write(ProxyFixture.watchHead() + ProxyFixture.chunk("{\"rev\":42,\"targets\":["));
             while (true) {
@@ -94,7 +94,11 @@
         }
     }
 
-    /** A draining endpoint is applied despite a malformed entry, whose own endpoint counts as removed. */
+    /**
+     * Guards against an entry that is malformed in every list and thereby blocks all later changes. The second list is
+     * decoded without the malformed entry: the draining endpoint receives no requests, and the endpoint of the
+     * malformed entry counts as removed.
+     */
     @Test
     @Timeout(60)
     void validEntriesOfARepeatedlyMalformedListAreApplied() throws Exception {
@@ -129,13 +133,13 @@
                             proxy.ask(HttpMessages.page("/api/p", "t" + i, "20000m"))
                                     .body());
                 }
-                assertEquals(2, calls.get(), "dropped once, then decoded leniently");
+                assertEquals(2, calls.get(), "the first list is dropped, the second one is decoded leniently");
             }
         }
     }
 
     @Test
-    void indentedListOfTheLargestNumberOfEndpointsIsParsed() throws Exception {
+    void indentedListOfTheMaximumNumberOfEndpointsIsParsed() throws Exception {
         try (ProxyFixture proxy = ProxyFixture.silent()) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             ScriptedHttpServer.Peer peer = ScriptedHttpServer.next(proxy.discovery.peers);
@@ -147,9 +151,9 @@
             String list = ProxyFixture.list(42, true, entries)
                     .replace("\"pod_group\"", "\"model\":\"a-model-with-a-rather-long-name\",\"pod_group\"");
             String indented = indented(list).replace("\n", "\n        ");
-            assertTrue(indented.length() > 1 << 20, indented.length() + " characters");
-            for (int at = 0; at < indented.length(); at += 60_000) {
-                peer.write(ProxyFixture.chunk(indented.substring(at, Math.min(indented.length(), at + 60_000))));
+            assertTrue(indented.length() > 1 << 20, "the list has only " + indented.length() + " characters");
+            for (int offset = 0; offset < indented.length(); offset += 60_000) {
+                peer.write(ProxyFixture.chunk(indented.substring(offset, Math.min(indented.length(), offset + 60_000))));
             }
             assertEquals("42 complete 3200", ScriptedHttpServer.next(recorded.events));
         }
--- a/src/test/java/loadbalancer/proxy/discovery/RecordedDiscovery.java
+++ b/src/test/java/loadbalancer/proxy/discovery/RecordedDiscovery.java
@@ -12,9 +12,9 @@
 import loadbalancer.proxy.lifecycle.ProxyFixture;
 import loadbalancer.proxy.resources.SystemClock;
 
-/** A {@link DiscoveryClient} without a proxy, whose events are recorded as text. */
+/** A {@link DiscoveryClient} that runs without a proxy, and the events that it reports, recorded as text. */
 final class RecordedDiscovery implements DiscoveryClient.Listener {
-    /** The event of a call that has ended. */
+    /** The event that is recorded when a call has ended. */
     static final String CALL_ENDED = "call ended";
 
     /** An entry of an endpoint list, in the form of {@link ProxyFixture#list}. */
@@ -26,9 +26,9 @@
     private static final String CACHED_LIST = ProxyFixture.list(41, true);
 
     final DiscoveryClient client;
-    /** The applied lists and ended calls, in order. */
+    /** The applied lists, such as {@code 43 complete 2}, and {@link #CALL_ENDED}, in order. */
     final BlockingQueue<String> events = new LinkedBlockingQueue<>();
-    /** Why calls have ended, in order. */
+    /** The reasons for which calls have ended, in order. */
     final BlockingQueue<String> endReasons = new LinkedBlockingQueue<>();
 
     private RecordedDiscovery(ProxyFixture proxy, DiscoveryCallTiming timing) throws Exception {
@@ -42,7 +42,7 @@
                 NioSocketChannel::new);
     }
 
-    /** Starts a client of the discovery of a proxy that does not run. */
+    /** Starts a client that calls the discovery of a proxy fixture. The proxy itself does not run. */
     static RecordedDiscovery start(ProxyFixture proxy, DiscoveryCallTiming timing) throws Exception {
         RecordedDiscovery recorded = new RecordedDiscovery(proxy, timing);
         proxy.loop.execute(recorded.client::start);
