--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -179,7 +179,7 @@
                     ScriptedHttpServer.next(moved.requests).path());
             assertEquals("7 complete 1", ScriptedHttpServer.next(recorded.events));
             ScriptedHttpServer.next(proxy.discovery.ended);
-            // A reload with the same address keeps the watch open. The call after the watch goes to the new address too.
+            // A move to the same address keeps the watch open. The next call goes to the new address too.
             proxy.loop.execute(() -> recorded.client.moveTo(newAddress, new SystemClock().nowUs()));
             ScriptedHttpServer.next(moved.peers).reset();
             assertEquals(RecordedDiscovery.CALL_ENDED, ScriptedHttpServer.next(recorded.events));
@@ -192,7 +192,7 @@
     }
 
     @Test
-    void pushedListIsAppliedBeforeRequestsAreRouted() throws Exception {
+    void pushedListsAreWatchedBeforeClientsCanConnect() throws Exception {
         try (ScriptedHttpServer draining = ScriptedHttpServer.serving("draining");
                 ScriptedHttpServer ready = ScriptedHttpServer.serving("ready");
                 ScriptedHttpServer agent = new ScriptedHttpServer((request, peer) -> {
