--- a/src/main/java/loadbalancer/policy/discovery/DiscoveryCallScheduler.java
+++ b/src/main/java/loadbalancer/policy/discovery/DiscoveryCallScheduler.java
@@ -77,7 +77,7 @@
      * Schedules a call to the new address of discovery. The watch at the previous address stays open until the new
      * address has sent a message.
      *
-     * @param signalledAtUs when the process received the signal to reload its configuration, which may be before 
+     * @param signalledAtUs when the process received the signal to reload its configuration, which may be before
      *     {@code nowUs}
      */
     public void onDiscoveryMoved(long nowUs, long signalledAtUs) {
--- a/src/main/java/loadbalancer/policy/discovery/EndpointListLeaseTerms.java
+++ b/src/main/java/loadbalancer/policy/discovery/EndpointListLeaseTerms.java
@@ -26,8 +26,8 @@
     private static final long NOTIFICATION_DELAY_AFTER_MOVE_US = 4_000_000;
 
     /**
-     * The protocol counts a missed change as notified this long after discovery has completed the response of a watch,
-     * which ends it as a long poll does.
+     * A watch whose response discovery completes is a completed long poll. The protocol counts a missed change as
+     * notified this long after it.
      */
     private static final long NOTIFICATION_DELAY_AFTER_WATCH_END_US = 2_000_000;
 
@@ -57,7 +57,11 @@
         long afterConfirmationUs = Math.max(0, NOTIFICATION_DELAY_US + graceUs);
         long afterMissedChangeUs = Math.max(0, graceUs);
         return new EndpointListLeaseTerms(
-                afterConfirmationUs, afterMoveUs(graceUs), afterMissedChangeUs, afterMissedChangeUs, afterMissedChangeUs);
+                afterConfirmationUs,
+                afterMoveUs(graceUs),
+                afterMissedChangeUs,
+                afterMissedChangeUs,
+                afterMissedChangeUs);
     }
 
     private static long afterMoveUs(long graceUs) {
--- a/src/main/java/loadbalancer/policy/discovery/LeaseStatus.java
+++ b/src/main/java/loadbalancer/policy/discovery/LeaseStatus.java
@@ -3,16 +3,13 @@
 import loadbalancer.policy.log.DecisionLog;
 import loadbalancer.policy.log.RequestsRejectedWithoutLease;
 
-/**
- * The state of the lease on the endpoint list as the caller reports it. The lease does not expire until a report says
- * so.
- */
+/** The lease on the endpoint list as the caller reports it. Without reports, the lease does not expire. */
 public final class LeaseStatus {
     private final DecisionLog log;
     private long expiresAtUs = Long.MAX_VALUE;
     private long rejectedRequests;
 
-    /** Creates a lease that does not expire until the caller reports an expiry. */
+    /** Creates a lease that does not expire unless the caller reports an expiry. */
     public LeaseStatus(DecisionLog log) {
         this.log = log;
     }
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryCall.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryCall.java
@@ -34,7 +34,7 @@
 
 /** A call to discovery on a separate connection. The call becomes a watch when its first message is accepted. */
 final class DiscoveryCall extends SimpleChannelInboundHandler<HttpObject> {
-    /** The text by which the operating system reports that nothing listens at an address. */
+    /** The text with which the operating system reports that nothing listens at an address. */
     private static final String CONNECTION_REFUSED_MESSAGE = "Connection refused";
 
     private final DiscoveryCallId id;
--- a/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/loadbalancer/proxy/discovery/DiscoveryClient.java
@@ -139,7 +139,7 @@
         ChannelFuture connect = bootstrap.connect(address);
         DiscoveryCall call = new DiscoveryCall(id, addressGeneration, this, connect.channel(), clock);
         openCalls.put(id, call);
-        // If no socket was available, another thread than the event loop completes the future.
+        // If no socket was available, the future completes on a thread other than that of the event loop.
         connect.addListener(done -> loop.execute(() -> call.onConnectCompleted(connect, version.comparableOrNone())));
     }
 
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListParser.java
@@ -39,7 +39,7 @@
         feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
-    /** Returns whether the begin of an object has arrived, but not its end. */
+    /** Returns whether the start of an object has arrived, but not its end. */
     boolean hasPartialObject() {
         return depth > 0;
     }
--- a/src/main/java/loadbalancer/proxy/discovery/EndpointListVersion.java
+++ b/src/main/java/loadbalancer/proxy/discovery/EndpointListVersion.java
@@ -40,7 +40,7 @@
         return state == State.COMPARABLE;
     }
 
-    /** Marks the version as outdated, because discovery at another address has other versions. */
+    /** Marks this version as outdated, because versions of discovery at another address cannot be compared with it. */
     void onDiscoveryMoved() {
         state = State.OUTDATED;
     }
--- a/src/main/java/loadbalancer/proxy/discovery/FallbackListDecoder.java
+++ b/src/main/java/loadbalancer/proxy/discovery/FallbackListDecoder.java
@@ -17,7 +17,7 @@
     private enum Mode {
         /** A malformed entry makes the list malformed. */
         STRICT,
-        /** Malformed entries are left out of the next list. */
+        /** The next list is decoded despite malformed entries, whose endpoints count as removed. */
         LENIENT
     }
 
@@ -28,7 +28,7 @@
         this.decoder = decoder;
     }
 
-    /** Makes the next list be decoded leniently, because a malformed list is dropped. */
+    /** Causes the next list to be decoded leniently, because the caller drops a malformed list. */
     void onMalformedList() {
         mode = Mode.LENIENT;
     }
--- a/src/main/java/loadbalancer/proxy/discovery/LeaseMonitor.java
+++ b/src/main/java/loadbalancer/proxy/discovery/LeaseMonitor.java
@@ -13,7 +13,7 @@
 
 /** Reports changes of the expiry of the endpoint list lease, and logs when the lease is granted and when it is lost. */
 final class LeaseMonitor {
-    /** A timer may fire up to this time too early. */
+    /** Timers may fire early, by less than this time. */
     private static final long TIMER_PRECISION_MS = 1;
 
     private final EventLoop loop;
--- a/src/test/java/loadbalancer/policy/discovery/DiscoveryBackoffTest.java
+++ b/src/test/java/loadbalancer/policy/discovery/DiscoveryBackoffTest.java
@@ -66,7 +66,9 @@
     void allInstancesAreServedWithinTheBudgetAfterAnOutage(int instances, double callsPerSecond, long queueTimeoutUs) {
         for (long seed = 0; seed < SEEDS; seed++) {
             long lastServedAfterUs = lastServedAfterUs(instances, callsPerSecond, queueTimeoutUs, seed) + 2 * PAUSE_US;
-            assertTrue(lastServedAfterUs <= DiscoveryBackoff.NOTIFICATION_BUDGET_US, "seed " + seed + ": the last instance is served after " + lastServedAfterUs + " us");
+            assertTrue(
+                    lastServedAfterUs <= DiscoveryBackoff.NOTIFICATION_BUDGET_US,
+                    "seed " + seed + ": the last instance is served after " + lastServedAfterUs + " us");
         }
     }
 
--- a/src/test/java/loadbalancer/policy/discovery/DiscoveryCallSchedulerTest.java
+++ b/src/test/java/loadbalancer/policy/discovery/DiscoveryCallSchedulerTest.java
@@ -36,12 +36,15 @@
     }
 
     /** Checks all sequences that begin with a prefix, up to a length, and returns the number of sequences. */
-    private static int checkSequences(DiscoveryCallTiming timing, Jitter jitter, int maxLength, CallBehavior... prefix) {
+    private static int checkSequences(
+            DiscoveryCallTiming timing, Jitter jitter, int maxLength, CallBehavior... prefix) {
         if (prefix.length > 0) {
-            long recoveryUs = new VirtualDiscovery(timing, SchedulerFixture.terms(), jitter, prefix).measureRecoveryUs();
+            long recoveryUs =
+                    new VirtualDiscovery(timing, SchedulerFixture.terms(), jitter, prefix).measureRecoveryUs();
             assertTrue(
                     recoveryUs <= maxRecoveryUs(timing),
-                    () -> Arrays.toString(prefix) + ": the lease is renewed " + recoveryUs + " us after the last call of the sequence was opened");
+                    () -> Arrays.toString(prefix) + ": the lease is renewed " + recoveryUs
+                            + " us after the last call of the sequence was opened");
         }
         if (prefix.length == maxLength) {
             return 1;
@@ -60,12 +63,14 @@
     @ParameterizedTest
     @CsvSource({"1, 5", "5, 6", "30, 5", "31, 5", "63, 5", "120, 6", "1024, 5"})
     void leaseExpiresBeforeMissedChangesCountAndIsRenewedInTime(int instances, int maxLength) {
-        int sequenceCount = checkSequences(SchedulerFixture.timing(instances), SchedulerFixture.LONGEST_DELAY, maxLength)
+        int sequenceCount = checkSequences(
+                        SchedulerFixture.timing(instances), SchedulerFixture.LONGEST_DELAY, maxLength)
                 + checkSequences(SchedulerFixture.timing(instances), SchedulerFixture.SHORTEST_DELAY, maxLength);
         // For each of the two jitters, 1 + 12 + 144 + ... sequences.
         int behaviorCount = CallBehavior.values().length - 1;
         assertEquals(2 * (Math.pow(behaviorCount, maxLength + 1) - 1) / (behaviorCount - 1), sequenceCount);
-        System.out.println("fleet of " + instances + " instances: checked " + sequenceCount + " sequences of call behaviors");
+        System.out.println(
+                "fleet of " + instances + " instances: checked " + sequenceCount + " sequences of call behaviors");
     }
 
     private static void assertCheckFails(EndpointListLeaseTerms terms, CallBehavior... sequence) {
--- a/src/test/java/loadbalancer/policy/discovery/OverloadedDiscoveryTest.java
+++ b/src/test/java/loadbalancer/policy/discovery/OverloadedDiscoveryTest.java
@@ -16,7 +16,8 @@
     private static final long DURATION_US = 120_000_000;
     private static final double LEASED_SHARE = 0.9;
 
-    private static OverloadedDiscovery.Result run(int instances, int startingInstances, double callsPerSecond, long outageSeconds, long seed) {
+    private static OverloadedDiscovery.Result run(
+            int instances, int startingInstances, double callsPerSecond, long outageSeconds, long seed) {
         return new OverloadedDiscovery(instances, startingInstances, callsPerSecond, outageSeconds * 1_000_000, seed)
                 .run(DURATION_US);
     }
@@ -39,11 +40,13 @@
         "100, 100, 13, 8, 18",
         "100, 100, 13, 20, 40"
     })
-    void ninetyPercentOfInstancesHaveALeaseInTime(int instances, int startingInstances, double callsPerSecond, long outageSeconds, double maxSeconds) {
+    void ninetyPercentOfInstancesHaveALeaseInTime(
+            int instances, int startingInstances, double callsPerSecond, long outageSeconds, double maxSeconds) {
         for (long seed = 0; seed < SEEDS; seed++) {
             double seconds = run(instances, startingInstances, callsPerSecond, outageSeconds, seed)
                     .secondsUntilLeased(LEASED_SHARE, startingInstances);
-            assertTrue(seconds <= maxSeconds, "seed " + seed + ": 90% of instances had a lease after " + seconds + " s");
+            assertTrue(
+                    seconds <= maxSeconds, "seed " + seed + ": 90% of instances had a lease after " + seconds + " s");
         }
     }
 
--- a/src/test/java/loadbalancer/policy/discovery/VirtualDiscovery.java
+++ b/src/test/java/loadbalancer/policy/discovery/VirtualDiscovery.java
@@ -54,7 +54,7 @@
 
     private DiscoveryCallId watch;
     /** The number of the first call to the current address of discovery. */
-    private long firstCallAtCurrentAddress = 1;
+    private long firstCallNumberAtCurrentAddress = 1;
 
     VirtualDiscovery(
             DiscoveryCallTiming timing, EndpointListLeaseTerms terms, Jitter jitter, CallBehavior... sequence) {
@@ -111,7 +111,7 @@
 
     private void sendMessage(DiscoveryCallId call, long delayUs) {
         scheduleAfter(delayUs, call, () -> {
-            if (call.number() >= firstCallAtCurrentAddress) {
+            if (call.number() >= firstCallNumberAtCurrentAddress) {
                 hasSentMessage = true;
                 lastVerifiedAtUs = nowUs;
                 maxNotifiedAtUs = Long.MAX_VALUE;
@@ -159,7 +159,7 @@
 
     private void moveDiscovery() {
         maxNotifiedAtUs = Math.min(maxNotifiedAtUs, nowUs + NOTIFICATION_DELAY_AFTER_MOVE_US);
-        firstCallAtCurrentAddress = callCount + 1L;
+        firstCallNumberAtCurrentAddress = callCount + 1L;
         scheduler.onDiscoveryMoved(nowUs, nowUs);
     }
 
@@ -205,7 +205,9 @@
                     event.runnable.run();
                 }
             } else {
-                assertTrue(scheduler.nextTimerUs() != DiscoveryCallScheduler.NEVER, "no event is pending and the scheduler has no timer");
+                assertTrue(
+                        scheduler.nextTimerUs() != DiscoveryCallScheduler.NEVER,
+                        "no event is pending and the scheduler has no timer");
                 nowUs = Math.max(nowUs, scheduler.nextTimerUs());
                 scheduler.onTimer(nowUs);
             }
--- a/src/test/java/loadbalancer/proxy/config/ProxyConfigurationTest.java
+++ b/src/test/java/loadbalancer/proxy/config/ProxyConfigurationTest.java
@@ -132,7 +132,8 @@
         String java = ProcessHandle.current().info().command().orElseThrow();
         ProcessBuilder builder =
                 new ProcessBuilder(java, "-cp", System.getProperty("java.class.path"), Main.class.getName(), "proxy");
-        builder.environment().put("PROXY_CONFIG", tempFolder.resolve("none.json").toString());
+        builder.environment()
+                .put("PROXY_CONFIG", tempFolder.resolve("none.json").toString());
         Process process = builder.start();
         String output = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertTrue(process.waitFor(20, TimeUnit.SECONDS), "the process has not ended");
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -56,7 +56,10 @@
                     ProxyFixture.list(43, false, "s0=10.0.0.1:80=Terminating") + "\n" + ProxyFixture.list(43, false)
                             + "\n" + ProxyFixture.list(42, isComplete, RecordedDiscovery.ENTRY) + "\n"));
             assertEquals("43 changes 1", ScriptedHttpServer.next(recorded.events));
-            assertEquals("43 changes 0", ScriptedHttpServer.next(recorded.events), "a list with the same version is applied");
+            assertEquals(
+                    "43 changes 0",
+                    ScriptedHttpServer.next(recorded.events),
+                    "a list with the same version is applied");
             assertEquals(RecordedDiscovery.CALL_ENDED, ScriptedHttpServer.next(recorded.events));
             assertEquals(
                     "/discovery/hosts?watch=1",
@@ -64,7 +67,9 @@
             ScriptedHttpServer.next(proxy.discovery.peers)
                     .write(ProxyFixture.chunk(ProxyFixture.list(7, true, RecordedDiscovery.ENTRY)));
             assertEquals(
-                    "7 complete 1", ScriptedHttpServer.next(recorded.events), "a complete list after a restart of the versions is applied");
+                    "7 complete 1",
+                    ScriptedHttpServer.next(recorded.events),
+                    "a complete list after a restart of the versions is applied");
         }
     }
 
@@ -130,12 +135,17 @@
             ScriptedHttpServer.Peer hedged = ScriptedHttpServer.next(proxy.discovery.peers);
             unresponsive.write(ProxyFixture.chunk(ProxyFixture.list(43, false, RecordedDiscovery.ENTRY) + "\n"));
             assertEquals("43 changes 1", ScriptedHttpServer.next(recorded.events));
-            assertEquals(hedged, ScriptedHttpServer.next(proxy.discovery.ended), "the pending call is closed because the watch has received a message");
+            assertEquals(
+                    hedged,
+                    ScriptedHttpServer.next(proxy.discovery.ended),
+                    "the pending call is closed because the watch has received a message");
             ScriptedHttpServer.Peer next = ScriptedHttpServer.next(proxy.discovery.peers);
             next.write(ProxyFixture.chunk(ProxyFixture.list(44, false, RecordedDiscovery.ENTRY) + "\n"));
             assertEquals("44 changes 1", ScriptedHttpServer.next(recorded.events));
             assertEquals(
-                    unresponsive, ScriptedHttpServer.next(proxy.discovery.ended), "the previous watch is closed because a newer call has become the watch");
+                    unresponsive,
+                    ScriptedHttpServer.next(proxy.discovery.ended),
+                    "the previous watch is closed because a newer call has become the watch");
         }
     }
 
@@ -144,7 +154,8 @@
         LoadBalancerSettings settings = RecordedDiscovery.polledSettings();
         settings.pollIntervalUs = 3_000_000;
         long termUs = EndpointListLeaseTerms.of(settings).afterConfirmationUs();
-        assertTrue(termUs < settings.pollIntervalUs + settings.drainGraceUs, "the lease is valid for " + termUs + " us");
+        assertTrue(
+                termUs < settings.pollIntervalUs + settings.drainGraceUs, "the lease is valid for " + termUs + " us");
     }
 
     @Test
--- a/src/test/java/loadbalancer/proxy/discovery/EndpointListFormatTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/EndpointListFormatTest.java
@@ -71,7 +71,9 @@
         }))) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             assertEquals(RecordedDiscovery.CALL_ENDED, ScriptedHttpServer.next(recorded.events));
-            assertEquals("malformed endpoint list: a JSON object exceeds 1638400 bytes", ScriptedHttpServer.next(recorded.endReasons));
+            assertEquals(
+                    "malformed endpoint list: a JSON object exceeds 1638400 bytes",
+                    ScriptedHttpServer.next(recorded.endReasons));
         }
     }
 
@@ -153,7 +155,8 @@
             String indented = indented(list).replace("\n", "\n        ");
             assertTrue(indented.length() > 1 << 20, "the list has only " + indented.length() + " characters");
             for (int offset = 0; offset < indented.length(); offset += 60_000) {
-                peer.write(ProxyFixture.chunk(indented.substring(offset, Math.min(indented.length(), offset + 60_000))));
+                peer.write(
+                        ProxyFixture.chunk(indented.substring(offset, Math.min(indented.length(), offset + 60_000))));
             }
             assertEquals("42 complete 3200", ScriptedHttpServer.next(recorded.events));
         }
