--- a/src/main/java/loadbalancer/proxy/downstream/ClientRequestHandler.java
+++ b/src/main/java/loadbalancer/proxy/downstream/ClientRequestHandler.java
@@ -3,7 +3,8 @@
 /** Serves the requests of clients. */
 public interface ClientRequestHandler {
     /**
-     * Accepts a complete request with valid headers. The handler must call {@link ClientConnection#respond} once for it.
+     * Accepts a complete request with valid headers. The handler must respond to it once, by
+     * {@link ClientConnection#respond}.
      *
      * @param arrivedAtUs when the last byte of the request was read, in microseconds of the proxy's clock
      * @throws BadRequestException if the handler rejects the request; the connection then sends the response
