--- a/src/main/java/loadbalancer/policy/ActiveEndpoints.java
+++ b/src/main/java/loadbalancer/policy/ActiveEndpoints.java
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Closes this instance's idle connections to an endpoint that is not active and has no attempt in flight. Open ones
-     * would leave fewer connections for the instances that use the endpoint.
+     * Closes this instance's idle connections to an endpoint that is not active and has no attempt in flight. If they
+     * stayed open, fewer connections would be left for the instances that use the endpoint.
      */
     void closeIfUnused(Endpoint endpoint) {
         if (!endpoint.isActive() && endpoint.concurrency().inFlight() == 0) {
--- a/src/main/java/loadbalancer/policy/LoadBalancerSettings.java
+++ b/src/main/java/loadbalancer/policy/LoadBalancerSettings.java
@@ -7,7 +7,7 @@
 public final class LoadBalancerSettings {
     /** Number of load balancer instances in the fleet, including this one. */
     public int instances = 1;
-    /** Index of this instance in the fleet, from 0. */
+    /** Index of this instance in the fleet, from 0; the setting is named {@code me}. */
     public int instanceIndex;
     /** Zone of this instance, as an index into {@link #zones}. */
     public int localZone;
@@ -64,7 +64,7 @@
         require(instances >= 1, "instances is below 1: " + instances);
         require(
                 instanceIndex >= 0 && instanceIndex < instances,
-                "instanceIndex is not from 0 to " + (instances - 1) + ": " + instanceIndex);
+                "me is not from 0 to " + (instances - 1) + ": " + instanceIndex);
         require(maxAttempts >= 1, "maxAttempts is below 1: " + maxAttempts);
         require(
                 localZone >= 0 && localZone < Math.max(1, zones.size()),
--- a/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
+++ b/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
@@ -40,10 +40,10 @@
     /** Minimum interval between queue sweeps: long against the cost of a sweep, short against any latency objective. */
     private static final long MIN_SWEEP_INTERVAL_US = 5_000;
 
-    /** Maximum number of failed selections of endpoints for queued requests with a key, at an event but no timer. */
+    /** Maximum number of failed selections of an endpoint for queued requests with a key, at events except timers. */
     private static final int MAX_FAILED_KEYED_PICKS_PER_EVENT = 4;
 
-    /** The same maximum at a timer. */
+    /** Maximum number of failed selections of an endpoint for queued requests with a key, at a timer. */
     private static final int MAX_FAILED_KEYED_PICKS_PER_TIMER = 64;
 
     private final LoadBalancerSettings settings;
