--- a/src/main/java/loadbalancer/policy/log/DecisionLog.java
+++ b/src/main/java/loadbalancer/policy/log/DecisionLog.java
@@ -2,19 +2,19 @@
 
 import loadbalancer.policy.LoadBalancerActions;
 
-/** Passes decisions on to the caller's log, at most one a second; the rest is dropped. */
+/** Passes events on to the caller's log, at most one per second; further events are dropped. */
 public final class DecisionLog {
     private static final long INTERVAL_US = 1_000_000;
 
     private final LoadBalancerActions actions;
     private long nextAtUs;
 
-    /** A log that writes with these actions. */
+    /** Creates a log that records events through these actions. */
     public DecisionLog(LoadBalancerActions actions) {
         this.actions = actions;
     }
 
-    /** Records an event, or drops it if another was recorded less than a second before. */
+    /** Records an event, or drops it if another event was recorded less than a second earlier. */
     public void record(PolicyEvent event, long nowUs) {
         if (nowUs >= nextAtUs) {
             nextAtUs = nowUs + INTERVAL_US;
--- a/src/main/java/loadbalancer/policy/log/EndpointEjected.java
+++ b/src/main/java/loadbalancer/policy/log/EndpointEjected.java
@@ -1,11 +1,11 @@
 package loadbalancer.policy.log;
 
 /**
- * An endpoint was ejected.
+ * Logged when an endpoint is ejected.
  *
- * @param endpointId the endpoint
- * @param failures how many of its recent results were failures
- * @param className the request class that it is ejected for, or null if for all
+ * @param endpointId the id in the endpoint list
+ * @param failures the number of failures among the endpoint's recent results
+ * @param className the request class for which the endpoint is ejected, or null for all classes
  */
 public record EndpointEjected(String endpointId, int failures, String className) implements PolicyEvent {
     @Override
--- a/src/main/java/loadbalancer/policy/log/EndpointRestored.java
+++ b/src/main/java/loadbalancer/policy/log/EndpointRestored.java
@@ -1,10 +1,10 @@
 package loadbalancer.policy.log;
 
 /**
- * An ejected endpoint was restored.
+ * Logged when an ejected endpoint is restored.
  *
- * @param endpointId the endpoint
- * @param forOneClass whether it was ejected for one request class only
+ * @param endpointId the id in the endpoint list
+ * @param forOneClass whether the ejection was for one request class only
  */
 public record EndpointRestored(String endpointId, boolean forOneClass) implements PolicyEvent {
     @Override
--- a/src/main/java/loadbalancer/policy/log/PolicyEvent.java
+++ b/src/main/java/loadbalancer/policy/log/PolicyEvent.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy.log;
 
-/** A decision that operators want to see. */
+/** A decision of the load balancer that is logged for operators. */
 public sealed interface PolicyEvent permits EndpointEjected, EndpointRestored, RequestsRejectedWithoutLease {
-    /** One line of text without line breaks. */
+    /** Returns a description of the event, without line breaks. */
     String describe();
 }
--- a/src/main/java/loadbalancer/policy/log/RequestsRejectedWithoutLease.java
+++ b/src/main/java/loadbalancer/policy/log/RequestsRejectedWithoutLease.java
@@ -1,9 +1,9 @@
 package loadbalancer.policy.log;
 
 /**
- * The lease on the endpoint list is back, and requests were rejected without it.
+ * Logged when the lease on the endpoint list is regained after requests were rejected for lack of it.
  *
- * @param requests how many were rejected
+ * @param requests the number of rejected requests
  */
 public record RequestsRejectedWithoutLease(long requests) implements PolicyEvent {
     @Override
--- a/src/main/java/loadbalancer/policy/log/package-info.java
+++ b/src/main/java/loadbalancer/policy/log/package-info.java
@@ -1,2 +1,2 @@
-/** The decisions that operators see in the log, as typed events. */
+/** Typed events for the decisions that operators see in the log. */
 package loadbalancer.policy.log;
--- a/src/main/java/loadbalancer/policy/model/Attempt.java
+++ b/src/main/java/loadbalancer/policy/model/Attempt.java
@@ -2,7 +2,7 @@
 
 import loadbalancer.policy.AttemptResult;
 
-/** One attempt of a request at an endpoint. */
+/** One attempt to have a request served by an endpoint. */
 public final class Attempt {
     private final Endpoint endpoint;
     private final int number;
@@ -17,57 +17,56 @@
         this.startedAtUs = startedAtUs;
     }
 
-    /** Where it is made. */
+    /** Returns the endpoint to which the attempt is sent. */
     public Endpoint endpoint() {
         return endpoint;
     }
 
-    /** Its number among the attempts of its request, from 0. */
+    /** Returns the number of this attempt among the attempts of its request, from 0. */
     public int number() {
         return number;
     }
 
-    /** When it began. */
+    /** Returns the start time, by this instance's clock. */
     public long startedAtUs() {
         return startedAtUs;
     }
 
-    /** How it ended, or null while it is in flight. */
+    /** Returns how the attempt ended, or null while it is in flight. */
     public AttemptResult result() {
         return result;
     }
 
-    /** Whether it has not ended yet. */
+    /** Returns whether the attempt has not ended; an attempt released as lost is in flight until it ends. */
     public boolean isInFlight() {
         return result == null;
     }
 
-    /** Notes how it ended. */
     void setResult(AttemptResult newResult) {
         result = newResult;
     }
 
-    /** Whether it may have been executed at the endpoint. */
+    /** Returns whether the endpoint may have executed the request; always true while the attempt is in flight. */
     boolean mayHaveBeenExecuted() {
         return result == null || !result.knownNotExecuted;
     }
 
-    /** Whether it was counted as a failure while it was in flight. */
+    /** Returns whether the attempt was counted as a failure before it ended; its result is then not counted again. */
     public boolean isCountedAsFailure() {
         return countedAsFailure;
     }
 
-    /** Notes that it is counted as a failure before its end. */
+    /** Marks the attempt as counted as a failure before its end. */
     public void setCountedAsFailure() {
         countedAsFailure = true;
     }
 
-    /** Whether it no longer counts as in flight at its endpoint: it has ended or is lost. */
+    /** Returns whether the endpoint no longer counts the attempt as in flight: it has ended or is considered lost. */
     public boolean isReleased() {
         return released;
     }
 
-    /** Notes that it no longer counts as in flight at its endpoint. */
+    /** Marks the attempt as no longer counted as in flight at its endpoint. */
     public void setReleased() {
         released = true;
     }
--- a/src/main/java/loadbalancer/policy/model/Endpoint.java
+++ b/src/main/java/loadbalancer/policy/model/Endpoint.java
@@ -6,7 +6,7 @@
 import loadbalancer.policy.EndpointListEntry;
 import loadbalancer.policy.EndpointState;
 
-/** An upstream endpoint of the list, with what this instance has learned of it. */
+/** An upstream endpoint of the endpoint list, with the state that this instance keeps about it. */
 public final class Endpoint {
     private final String id;
     private final long hash;
@@ -23,132 +23,147 @@
     private int position;
     private int errorCount;
 
-    /** An endpoint of which nothing is known but its id; {@code classes} is the number of request classes. */
+    /**
+     * Creates an endpoint that is not in the endpoint list yet.
+     *
+     * @param classes the number of request classes
+     */
     public Endpoint(String id, int classes) {
         this.id = id;
         hash = new SplittableRandom(id.hashCode()).nextLong();
         healthByClass = Stream.generate(EndpointHealth::new).limit(classes).toArray(EndpointHealth[]::new);
     }
 
-    /** What attempts name; stays the same over restarts. */
+    /** Returns the id that attempts refer to; it stays the same when the endpoint restarts. */
     public String id() {
         return id;
     }
 
-    /** A hash of the id, the same at every instance. */
+    /** Returns a hash of the id that is the same on every instance. */
     public long hash() {
         return hash;
     }
 
-    /** What all its results say. */
+    /** Returns the health according to the results of all request classes. */
     public EndpointHealth health() {
         return health;
     }
 
-    /** What its results of one class say: it may fail one class and serve the others. */
+    /** Returns the health for one request class: an endpoint may fail one class and serve the others. */
     public EndpointHealth healthOf(int classIndex) {
         return healthByClass[classIndex];
     }
 
-    /** The number of request classes. */
+    /** Returns the number of request classes. */
     public int classes() {
         return healthByClass.length;
     }
 
-    /** Its concurrency limit and requests in flight. */
+    /** Returns the concurrency limit and the count of requests in flight. */
     public EndpointConcurrency concurrency() {
         return concurrency;
     }
 
-    /** Whether it takes requests, by the list. */
+    /** Returns the state according to the endpoint list; {@link EndpointState#REMOVED} while it is not listed. */
     public EndpointState state() {
         return state;
     }
 
-    /** Index into the zones of the settings, or -1. */
+    /** Returns the index into the zones of the settings, or -1 if the settings do not name the zone. */
     public int zone() {
         return zone;
     }
 
-    /** Number of the group of endpoints that share which idempotency keys they have seen. */
+    /** Returns the number of the cell: the group of endpoints that share a record of received idempotency keys. */
     public int cell() {
         return cell;
     }
 
-    /** Takes over what the list says of it. */
+    /** Updates state, zone and cell from an entry of the endpoint list. */
     public void update(EndpointListEntry entry) {
         state = entry.state();
         zone = entry.zone();
         cell = entry.cell();
     }
 
-    /** It is no longer in the list. */
+    /** Marks the endpoint as no longer in the endpoint list. */
     public void remove() {
         state = EndpointState.REMOVED;
     }
 
     /**
-     * The start of its process by another machine's clock, which only distinguishes one incarnation from the next; 0 if
-     * it started long ago.
+     * Returns when the endpoint's process started, by the clock of another machine; 0 if it started long ago. The value
+     * only distinguishes one incarnation from the next.
      */
     public long incarnationStartedAtUs() {
         return incarnationStartedAtUs;
     }
 
-    /** By this instance's clock, from when on the incarnation counts as warming up. */
+    /** Returns the time, by this instance's clock, from which the incarnation counts as warming up. */
     public long warmingUpSinceUs() {
         return warmingUpSinceUs;
     }
 
-    /** A new process has taken the endpoint's place. */
+    /**
+     * Records that a new process runs at this endpoint.
+     *
+     * @param startedAtUs the start of the process, by the clock of another machine
+     * @param warmingUpFromUs the start of its slow start, by this instance's clock
+     */
     public void startIncarnation(long startedAtUs, long warmingUpFromUs) {
         incarnationStartedAtUs = startedAtUs;
         warmingUpSinceUs = warmingUpFromUs;
         lastAttemptAtUs = 0;
     }
 
-    /** When the last attempt began, or what slow start takes for it; 0 if none has begun. */
+    /**
+     * Returns the start time of the last attempt, or the time that slow start has set in its place; 0 if this
+     * incarnation has had no attempt.
+     */
     public long lastAttemptAtUs() {
         return lastAttemptAtUs;
     }
 
-    /** Sets the time from which slow start counts its interval. */
+    /** Sets the time from which slow start counts the interval until the next attempt. */
     public void setLastAttemptAtUs(long atUs) {
         lastAttemptAtUs = atUs;
     }
 
-    /** Whether this instance uses it: it is ready, and in the instance's subset. */
+    /** Returns whether this instance uses the endpoint: it is ready and in the instance's subset. */
     public boolean isActive() {
         return active;
     }
 
-    /** Its index among the active endpoints, in list order. */
+    /** Returns the index among the active endpoints, in list order; an inactive endpoint keeps its last index. */
     public int position() {
         return position;
     }
 
-    /** It is among the active endpoints, at this index. */
+    /** Marks the endpoint as active, at this index among the active endpoints. */
     public void activate(int index) {
         active = true;
         position = index;
     }
 
-    /** It is no longer among the active endpoints. */
+    /** Marks the endpoint as not active. */
     public void deactivate() {
         active = false;
     }
 
-    /** Whether it is active and not ejected, so that it counts towards the sum of all limits. */
+    /**
+     * Returns whether the endpoint is active and not ejected for all request classes. Only available endpoints count
+     * towards the sum of all concurrency limits.
+     */
     public boolean isAvailable() {
         return active && !health.isEjected();
     }
 
-    /** Whether requests of a class get no attempts there but for probation. */
+    /** Returns whether requests of this class get only probation attempts at the endpoint. */
     public boolean isEjectedFor(int classIndex) {
         return health.isEjected() || healthByClass[classIndex].isEjected();
     }
 
-    /** Whether it is ejected for at least one class. */
+    /** Returns whether the endpoint is ejected for at least one request class. */
     public boolean isEjectedForAny() {
         if (health.isEjected()) {
             return true;
@@ -161,12 +176,12 @@
         return false;
     }
 
-    /** The errors that its weight follows from. */
+    /** Returns the error count that determines the endpoint's weight. */
     public int errorCount() {
         return errorCount;
     }
 
-    /** Sets the error count; outlier detection owns it. */
+    /** Sets the error count; only outlier detection calls this method. */
     public void setErrorCount(int errors) {
         errorCount = errors;
     }
--- a/src/main/java/loadbalancer/policy/model/EndpointConcurrency.java
+++ b/src/main/java/loadbalancer/policy/model/EndpointConcurrency.java
@@ -1,8 +1,8 @@
 package loadbalancer.policy.model;
 
 /**
- * The concurrency limit of an endpoint and this instance's requests in flight there. The concurrency limiter owns this
- * state.
+ * The concurrency limit of an endpoint and this instance's requests in flight there. The concurrency limiter maintains
+ * this state, apart from the reset for a new incarnation and the record of attempts with a response.
  */
 public final class EndpointConcurrency {
     private static final double SLOWNESS_OF_NEW_INCARNATION = 1;
@@ -16,90 +16,104 @@
     private long newestAnsweredAttemptAtUs;
     private double slowness;
 
-    /** Forgets what was learned from an earlier incarnation; requests in flight stay counted. */
+    /** Discards the limit and slowness of an earlier incarnation; requests in flight stay counted. */
     public void resetLimit() {
         limit = 0;
         slowness = SLOWNESS_OF_NEW_INCARNATION;
     }
 
-    /** This instance's requests in flight at the endpoint, without those that count as lost. */
+    /** Returns this instance's requests in flight at the endpoint, not counting those considered lost. */
     public int inFlight() {
         return inFlight;
     }
 
-    /** Counts one more request in flight. */
+    /** Adds one request in flight. */
     public void increment() {
         inFlight++;
     }
 
-    /** Counts one request in flight less. */
+    /** Subtracts one request in flight. */
     public void decrement() {
         inFlight--;
     }
 
-    /** Requests that may be in flight; under one, a share of the time for which one may be. 0 before it is set. */
+    /**
+     * Returns how many requests may be in flight, or 0 before the limit is set. A limit below 1 is the share of time
+     * during which one request may be in flight.
+     */
     public double limit() {
         return limit;
     }
 
-    /** Sets the limit. */
     public void setLimit(double newLimit) {
         limit = newLimit;
     }
 
-    /** When the limit was last cut. */
+    /** Returns when the limit was last cut, or 0 if never. */
     public long limitCutAtUs() {
         return limitCutAtUs;
     }
 
-    /** Cuts the limit. */
+    /** Lowers the limit and records the time of the cut. */
     public void cutLimit(double newLimit, long nowUs) {
         limit = newLimit;
         limitCutAtUs = nowUs;
     }
 
-    /** When a request last found the limit reached. */
+    /**
+     * Returns when a request within its tenant's quota last found no capacity for an attempt at the endpoint, or 0 if
+     * never.
+     */
     public long limitReachedAtUs() {
         return limitReachedAtUs;
     }
 
-    /** Notes that a request has found the limit reached. */
+    /** Records that a request found no capacity. */
     public void setLimitReachedAtUs(long atUs) {
         limitReachedAtUs = atUs;
     }
 
-    /** Until when a limit under one lets no further request in. */
+    /** Returns the time until which a limit below 1 admits no further request. */
     public long pausedUntilUs() {
         return pausedUntilUs;
     }
 
-    /** The length of the pause that {@link #pausedUntilUs} ends. */
+    /** Returns the duration of the pause that ends at {@link #pausedUntilUs}. */
     public long pauseUs() {
         return pauseUs;
     }
 
-    /** Lets no further request in for some time behind an attempt that began at {@code attemptAtUs}. */
+    /**
+     * Pauses the endpoint after an attempt. A pause that overlaps an earlier one starts at the end of the earlier one.
+     *
+     * @param attemptAtUs the start time of the attempt, at which the pause starts otherwise
+     * @param lengthUs the duration of the pause
+     */
     public void pause(long attemptAtUs, long lengthUs) {
         pauseUs = lengthUs;
         pausedUntilUs = Math.max(pausedUntilUs, attemptAtUs) + lengthUs;
     }
 
-    /** When the newest of the attempts began that the endpoint has answered. */
+    /** Returns the latest start time of all attempts that got a response, or 0 if there are none. */
     public long newestAnsweredAttemptAtUs() {
         return newestAnsweredAttemptAtUs;
     }
 
-    /** Notes that an attempt that began at this time has been answered. */
+    /** Records that an attempt that started at this time got a response. */
     public void recordAnsweredAttempt(long attemptAtUs) {
         newestAnsweredAttemptAtUs = Math.max(newestAnsweredAttemptAtUs, attemptAtUs);
     }
 
-    /** Running mean of its latency against what counts as slow; from 1 on it is overloaded. */
+    /** Returns the running mean of latency divided by the threshold for slow responses; from 1 on it means overload. */
     public double slowness() {
         return slowness;
     }
 
-    /** Takes a new value into the running mean. */
+    /**
+     * Updates the running mean of slowness.
+     *
+     * @param gain the weight of the new value, from 0 to 1
+     */
     public void recordSlowness(double value, double gain) {
         slowness += gain * (value - slowness);
     }
--- a/src/main/java/loadbalancer/policy/model/EndpointHealth.java
+++ b/src/main/java/loadbalancer/policy/model/EndpointHealth.java
@@ -1,16 +1,16 @@
 package loadbalancer.policy.model;
 
 /**
- * The recent results of an endpoint, of all its requests or of one class, and whether it is ejected for them.
- * Outlier detection owns this state.
+ * The recent results of an endpoint, for all its requests or for one request class, and whether it is ejected for them.
+ * Outlier detection maintains this state, apart from the time of the last response.
  */
 public final class EndpointHealth {
-    /** Results that are remembered. */
+    /** Number of recent results that are kept. */
     public static final int HISTORY_LENGTH = 16;
 
     private static final int HISTORY_MASK = (1 << HISTORY_LENGTH) - 1;
 
-    /** One bit a result, 1 for a failure, the newest in the lowest bit. */
+    /** One bit per result, 1 for a failure; the lowest bit is the latest result. */
     private int history;
 
     private boolean ejected;
@@ -20,18 +20,18 @@
     private long lastResponseAtUs;
     private long lastSuccessAtUs;
 
-    /** Failures among the last {@link #HISTORY_LENGTH} results. */
+    /** Returns the number of failures among the last {@link #HISTORY_LENGTH} results. */
     public int recentFailures() {
         return Integer.bitCount(history & HISTORY_MASK);
     }
 
-    /** Records a failure; successes of a probation count anew. */
+    /** Records a failure and sets the count of probation successes back to 0. */
     public void recordFailure() {
         history = history << 1 | 1;
         probationSuccesses = 0;
     }
 
-    /** Records a success; while ejected, the next probation attempt may follow at once. */
+    /** Records a success; while the endpoint is ejected, the next probation attempt may then follow at once. */
     public void recordSuccess(long nowUs) {
         history <<= 1;
         lastSuccessAtUs = nowUs;
@@ -41,15 +41,15 @@
         }
     }
 
-    /** Records that the endpoint has answered, be it with an error. */
+    /** Records the time of a response, whether a success or an error. */
     public void recordResponse(long nowUs) {
         lastResponseAtUs = nowUs;
     }
 
     /**
-     * Ejects it, or keeps it ejected.
+     * Ejects the endpoint or extends its ejection.
      *
-     * @param durationUs the time without requests on average
+     * @param durationUs the mean duration of the ejection, around which {@code untilUs} varies at random
      * @param untilUs the earliest time of the next probation attempt
      */
     public void eject(long durationUs, long untilUs) {
@@ -58,39 +58,39 @@
         probationAtUs = untilUs;
     }
 
-    /** Forgets the recent results and ends an ejection. */
+    /** Discards the recent results and ends an ejection. */
     public void reset() {
         history = 0;
         ejected = false;
         probationSuccesses = 0;
     }
 
-    /** Whether it gets no requests but probation attempts. */
+    /** Returns whether the endpoint gets only probation attempts. */
     public boolean isEjected() {
         return ejected;
     }
 
-    /** How long the last ejection was on average, in microseconds. */
+    /** Returns the mean duration with which the endpoint was last ejected. */
     public long ejectionUs() {
         return ejectionUs;
     }
 
-    /** From when on a probation attempt may be made. */
+    /** Returns the earliest time of the next probation attempt. */
     public long probationAtUs() {
         return probationAtUs;
     }
 
-    /** Probation attempts that have succeeded in a row. */
+    /** Returns the number of successive probation attempts that succeeded. */
     public int probationSuccesses() {
         return probationSuccesses;
     }
 
-    /** When it answered last, with whatever status; 0 if never. */
+    /** Returns the time of the last response, whether a success or an error; 0 if there was none. */
     public long lastResponseAtUs() {
         return lastResponseAtUs;
     }
 
-    /** When it last served a request; 0 if never. */
+    /** Returns the time of the last success; 0 if there was none. */
     public long lastSuccessAtUs() {
         return lastSuccessAtUs;
     }
--- a/src/main/java/loadbalancer/policy/model/EndpointSharing.java
+++ b/src/main/java/loadbalancer/policy/model/EndpointSharing.java
@@ -1,31 +1,31 @@
 package loadbalancer.policy.model;
 
 /**
- * How many instances share an endpoint: all of the fleet, or in a large fleet those whose subsets it is in. Where many
- * do, what one instance has in flight shows little of an endpoint's load.
+ * The number of instances that share an endpoint: the whole fleet, or in a large fleet the instances whose subsets
+ * contain the endpoint. When many instances share an endpoint, the requests that one of them has in flight there tell
+ * little about the endpoint's load.
  */
 public final class EndpointSharing {
-    /** Instances that share an endpoint above which an instance counts as sparse. */
+    /** Number of instances per endpoint above which an endpoint counts as widely shared. */
     private static final double SPARSE_ABOVE_INSTANCES = 20;
 
     private double instances;
 
-    /** For an instance that uses all endpoints, as all others do. */
+    /** Creates the initial state, in which every instance of the fleet uses all endpoints. */
     public EndpointSharing(int fleetInstances) {
         instances = fleetInstances;
     }
 
-    /** Sets how many instances share an endpoint on average. */
     public void setInstances(double newInstances) {
         instances = newInstances;
     }
 
-    /** Instances that share an endpoint, on average. */
+    /** Returns the mean number of instances that share an endpoint. */
     public double instances() {
         return instances;
     }
 
-    /** Whether so many share an endpoint that this instance sees little of its load. */
+    /** Returns whether so many instances share an endpoint that each of them sees little of its load. */
     public boolean isSparse() {
         return instances > SPARSE_ABOVE_INSTANCES;
     }
--- a/src/main/java/loadbalancer/policy/model/PendingRequest.java
+++ b/src/main/java/loadbalancer/policy/model/PendingRequest.java
@@ -5,14 +5,14 @@
 import loadbalancer.policy.Request;
 import loadbalancer.policy.RequestClass;
 
-/** A request without its final response, or with attempts that have not ended, and all its attempts. */
+/** A request that has no final response yet or still has attempts in flight, with all its attempts. */
 public final class PendingRequest {
     private enum Phase {
-        /** Has attempts in flight, or is about to. */
+        /** Has attempts in flight, or is about to start one. */
         ACTIVE,
         /** Waits in the request queue. */
         QUEUED,
-        /** Has its final response, or its client has left. */
+        /** Has its final response, or its client has disconnected. */
         FINISHED
     }
 
@@ -32,7 +32,7 @@
     private boolean streaming;
     private boolean clientDisconnected;
 
-    /** A request that has just arrived. */
+    /** Creates a request that arrives now, neither queued nor attempted. */
     public PendingRequest(Request request, LoadBalancerSettings settings, long nowUs) {
         this.request = request;
         requestClass = settings.classes.get(request.classIndex());
@@ -48,154 +48,161 @@
         return Math.min(requestClass.deadlineUs(), requestClass.latencyObjectiveUs() + stretchUs);
     }
 
-    /** What names it to the caller. */
+    /** Returns the id by which the caller refers to the request. */
     public long id() {
         return request.id();
     }
 
-    /** Index of its class in the settings. */
+    /** Returns the index of the request class in the settings. */
     public int classIndex() {
         return request.classIndex();
     }
 
-    /** Index of its tenant in the settings, or -1. */
+    /** Returns the index of the tenant in the settings, or -1. */
     public int tenant() {
         return request.tenant();
     }
 
-    /** Its class. */
+    /** Returns the settings of the request's class. */
     public RequestClass requestClass() {
         return requestClass;
     }
 
-    /** When it arrived. */
+    /** Returns the time of arrival, by this instance's clock. */
     public long arrivedAtUs() {
         return arrivedAtUs;
     }
 
-    /** A response until then earns the full priority weight. */
+    /** Returns the time until which a response earns the full priority weight. */
     public long latencyObjectiveAtUs() {
         return latencyObjectiveAtUs;
     }
 
-    /** The latency objective counted from the arrival, in microseconds. */
+    /** Returns the latency objective as a duration from the arrival. */
     public long latencyObjectiveUs() {
         return latencyObjectiveAtUs - arrivedAtUs;
     }
 
-    /** When its client stops waiting. */
+    /** Returns the time at which the client stops waiting. */
     public long deadlineAtUs() {
         return deadlineAtUs;
     }
 
-    /** Whether its endpoints are picked by its key. */
+    /** Returns whether the request's key determines which endpoints are picked. */
     public boolean hasKeyAffinity() {
         return keySeed != 0;
     }
 
-    /** Determines the picks by its key; 0 without key affinity. */
+    /** Returns the seed that determines the picks by key; 0 without key affinity. */
     public long keySeed() {
         return keySeed;
     }
 
     // Queueing and the final response.
 
-    /** Whether it waits in the request queue. */
+    /** Returns whether the request is waiting in the request queue. */
     public boolean isQueued() {
         return phase == Phase.QUEUED;
     }
 
-    /** It waits in the request queue from now on. */
+    /**
+     * Marks the request as waiting in the request queue.
+     *
+     * @throws IllegalStateException if the request is finished
+     */
     public void enqueue() {
         requireUnfinished();
         phase = Phase.QUEUED;
     }
 
-    /** It has left the request queue. */
+    /**
+     * Marks the request as taken out of the request queue.
+     *
+     * @throws IllegalStateException if the request is finished
+     */
     public void dequeue() {
         requireUnfinished();
         phase = Phase.ACTIVE;
     }
 
-    /** Whether it has its final response, or its client has left. */
+    /** Returns whether the request has its final response, or its client has disconnected. */
     public boolean isFinished() {
         return phase == Phase.FINISHED;
     }
 
-    /** It has its final response, or its client has left. */
+    /** Marks the request as finished: it has its final response, or its client has disconnected. */
     public void finish() {
         phase = Phase.FINISHED;
     }
 
     private void requireUnfinished() {
         if (phase == Phase.FINISHED) {
-            throw new IllegalStateException("request " + request.id() + " is finished");
+            throw new IllegalStateException("cannot queue or dequeue request " + request.id() + ": it is finished");
         }
     }
 
-    /** Whether it is finished and has no attempt in flight. */
+    /** Returns whether the request is finished and has no attempt in flight, so that it can be forgotten. */
     public boolean isDone() {
         return isFinished() && inFlight == 0;
     }
 
     // Priority.
 
-    /** Its priority in the queue; the highest goes first. */
+    /** Returns the priority in the request queue; the highest goes first. */
     public double priority() {
         return priority;
     }
 
-    /** Sets the priority. */
     public void setPriority(double newPriority) {
         priority = newPriority;
     }
 
-    /** Whether it is treated as beyond its tenant's quota. */
+    /** Returns whether the request is treated as over its tenant's quota. */
     public boolean isOverQuota() {
         return overQuota;
     }
 
-    /** It is treated as beyond its tenant's quota. */
+    /** Marks the request as over its tenant's quota. */
     public void setOverQuota() {
         overQuota = true;
     }
 
-    /** Whether it is known to miss its latency objective. */
+    /** Returns whether the request is expected to miss its latency objective. */
     public boolean isLate() {
         return late;
     }
 
-    /** It is known to miss its latency objective, which lowers its priority. */
+    /** Marks the request as expected to miss its latency objective, and lowers its priority accordingly. */
     public void setLate() {
         late = true;
         priority *= requestClass.latePriorityFactor();
     }
 
-    // What its client and its response have done.
+    // Response stream and client connection.
 
-    /** Whether a streamed response has begun, so that no other attempt can follow. */
+    /** Returns whether a streamed response has begun, after which no other attempt can follow. */
     public boolean isStreaming() {
         return streaming;
     }
 
-    /** A streamed response has begun. */
+    /** Records that a streamed response has begun. */
     public void setStreaming() {
         streaming = true;
     }
 
-    /** Whether its client has closed the connection. */
+    /** Returns whether the client has closed its connection. */
     public boolean isClientDisconnected() {
         return clientDisconnected;
     }
 
-    /** Its client has closed the connection. */
+    /** Records that the client has closed its connection. */
     public void setClientDisconnected() {
         clientDisconnected = true;
     }
 
     // Attempts.
 
-    /** Adds an attempt that begins now. */
+    /** Adds an attempt that starts now; the settings limit how many a request may have. */
     public Attempt startAttempt(Endpoint endpoint, long nowUs) {
         Attempt attempt = new Attempt(endpoint, attemptCount, nowUs);
         attempts[attemptCount] = attempt;
@@ -204,28 +211,28 @@
         return attempt;
     }
 
-    /** Notes how an attempt ended. */
+    /** Records the result of an attempt, which is then no longer in flight. */
     public void endAttempt(Attempt attempt, AttemptResult result) {
         attempt.setResult(result);
         inFlight--;
     }
 
-    /** How many attempts have been made. */
+    /** Returns the number of attempts so far, including those in flight. */
     public int attemptCount() {
         return attemptCount;
     }
 
-    /** The attempt of this number, or null if there is none. */
+    /** Returns the attempt with this number, or null if there is none. */
     public Attempt attempt(int number) {
         return number < 0 || number >= attemptCount ? null : attempts[number];
     }
 
-    /** Attempts that have not ended. */
+    /** Returns the number of attempts that have not ended. */
     public int inFlight() {
         return inFlight;
     }
 
-    /** Whether an attempt was made at an endpoint. */
+    /** Returns whether the request has had an attempt at this endpoint. */
     public boolean hasTried(Endpoint endpoint) {
         for (int i = 0; i < attemptCount; i++) {
             if (attempts[i].endpoint() == endpoint) {
@@ -235,7 +242,7 @@
         return false;
     }
 
-    /** The earliest attempt that may have been executed, or null: it restricts retries and rejection. */
+    /** Returns the first attempt that may have been executed, or null; it restricts retries and rejection. */
     public Attempt firstPossiblyExecuted() {
         for (int i = 0; i < attemptCount; i++) {
             if (attempts[i].mayHaveBeenExecuted()) {
--- a/src/main/java/loadbalancer/policy/model/package-info.java
+++ b/src/main/java/loadbalancer/policy/model/package-info.java
@@ -1,5 +1,2 @@
-/**
- * What the decision module knows of endpoints, requests and attempts. Each part of this state is changed by one
- * owner only.
- */
+/** The decision module's state of endpoints, requests and attempts. */
 package loadbalancer.policy.model;
--- a/src/main/java/loadbalancer/policy/retry/RetryBudget.java
+++ b/src/main/java/loadbalancer/policy/retry/RetryBudget.java
@@ -1,23 +1,23 @@
 package loadbalancer.policy.retry;
 
-/** A budget of hedged requests: a share of first attempts, and a limited number at once. */
+/** Limits hedged requests to a share of first attempts, with a maximum burst. */
 public final class RetryBudget {
     private static final double SHARE_OF_FIRST_ATTEMPTS = 0.2;
     private static final double MAX_TOKENS = 20;
 
     private double tokens = MAX_TOKENS;
 
-    /** Whether another hedged request may be sent. */
+    /** Returns whether the budget allows another hedged request. */
     public boolean isAvailable() {
         return tokens >= 1;
     }
 
-    /** Takes a hedged request out of the budget. */
+    /** Removes one hedged request from the budget; the caller checks first that the budget is available. */
     public void spend() {
         tokens--;
     }
 
-    /** Adds the share of a first attempt to the budget. */
+    /** Adds a first attempt's share to the budget. */
     public void onFirstAttempt() {
         tokens = Math.min(MAX_TOKENS, tokens + SHARE_OF_FIRST_ATTEMPTS);
     }
--- a/src/main/java/loadbalancer/policy/retry/RetryRules.java
+++ b/src/main/java/loadbalancer/policy/retry/RetryRules.java
@@ -8,16 +8,16 @@
 import loadbalancer.policy.model.Endpoint;
 import loadbalancer.policy.model.PendingRequest;
 
-/** Which further attempts and which final responses the idempotency of a request permits. */
+/** Decides which further attempts and final responses the idempotency of a request permits. */
 public final class RetryRules {
     private final LoadBalancerSettings settings;
 
-    /** Rules by these settings. */
+    /** Creates rules that follow the attempt limit of these settings. */
     public RetryRules(LoadBalancerSettings settings) {
         this.settings = settings;
     }
 
-    /** Whether another attempt could be permitted, wherever it goes. */
+    /** Returns whether the request may have another attempt, regardless of the endpoint. */
     public boolean mayRetry(PendingRequest request, long nowUs) {
         if (request.attemptCount() >= settings.maxAttempts
                 || nowUs >= request.deadlineAtUs()
@@ -34,7 +34,11 @@
                 };
     }
 
-    /** Whether an endpoint deduplicates a request with the one at which it may have been executed. */
+    /**
+     * Returns whether an attempt at this endpoint is permitted, given that the request may have a further attempt. If a
+     * request with an idempotency key may have been executed, only endpoints in the deduplication scope of that attempt
+     * are permitted.
+     */
     public boolean permits(PendingRequest request, Endpoint endpoint) {
         if (request.requestClass().idempotency() != Idempotency.IDEMPOTENCY_KEY) {
             return true;
@@ -48,7 +52,10 @@
                 };
     }
 
-    /** Whether a request may be rejected, which promises that the client may safely retry; else it has failed. */
+    /**
+     * Returns whether the request may be rejected, which promises the client that it may safely retry; otherwise the
+     * request fails.
+     */
     public boolean mayReject(PendingRequest request) {
         RequestClass requestClass = request.requestClass();
         return request.firstPossiblyExecuted() == null
--- a/src/main/java/loadbalancer/policy/retry/package-info.java
+++ b/src/main/java/loadbalancer/policy/retry/package-info.java
@@ -1,2 +1,2 @@
-/** Which attempts may follow a first one, and how many hedged requests. */
+/** Rules for retries and rejections, and the budget for hedged requests. */
 package loadbalancer.policy.retry;
--- a/src/main/java/loadbalancer/policy/statistics/LatencyStatistics.java
+++ b/src/main/java/loadbalancer/policy/statistics/LatencyStatistics.java
@@ -1,31 +1,35 @@
 package loadbalancer.policy.statistics;
 
-/** Running means of the latency of successful attempts, by request class, in microseconds. */
+/** Running means of the latency of successful attempts, by request class. */
 public final class LatencyStatistics {
-    /** Weight of a new value in a running mean, once there are enough values. */
+    /** Weight of a new value in a running mean; until the mean has 32 values, all of them have equal weights. */
     static final double MEAN_GAIN = 1.0 / 32;
 
-    /** Results after which a mean is more than chance, as a share of the mean's window. */
+    /** Share of a mean's window that results must fill before the mean is reliable; with fewer, it is mostly chance. */
     private static final double RELIABLE_WINDOW_SHARE = 0.5;
 
-    /** Growth of the least mean with each result, so that it follows a lasting change of the work. */
+    /** Growth of the minimum mean with each result, so that it adapts to a lasting change of the requests' work. */
     private static final double LEAST_MEAN_DRIFT = 1.0001;
 
-    /** Share of the mean above which a latency counts as slow: latencies are skewed, their median is below the mean. */
+    /** Share of the mean above which a latency is slower than most: latencies are skewed, with the median below the mean. */
     private static final double SLOW_MEAN_SHARE = 0.8;
 
     private final double[] meanUs;
     private final double[] leastMeanUs;
     private final int[] counts;
 
-    /** Statistics for so many request classes. */
+    /**
+     * Creates statistics without results.
+     *
+     * @param classes the number of request classes
+     */
     public LatencyStatistics(int classes) {
         meanUs = new double[classes];
         leastMeanUs = new double[classes];
         counts = new int[classes];
     }
 
-    /** Records the latency of a successful attempt. */
+    /** Records the latency of a successful attempt of a request class. */
     public void record(int classIndex, long latencyUs) {
         counts[classIndex]++;
         double gain = Math.max(MEAN_GAIN, 1.0 / counts[classIndex]);
@@ -35,30 +39,30 @@
                 : Double.MAX_VALUE;
     }
 
-    /** The mean latency of a class; 0 before the first result. */
+    /** Returns the mean latency of a class; 0 before the first result. */
     public double meanUs(int classIndex) {
         return meanUs[classIndex];
     }
 
     /**
-     * The least that the mean of a class has been, with some drift, or {@link Double#MAX_VALUE} where results were too
-     * few; 0 before the first result.
+     * Returns the minimum of a class's mean since it became reliable, which grows slightly with each result;
+     * {@link Double#MAX_VALUE} while the mean is not reliable, and 0 before the first result.
      */
     public double leastMeanUs(int classIndex) {
         return leastMeanUs[classIndex];
     }
 
-    /** Whether a class has any result. */
+    /** Returns whether a class has any result. */
     public boolean hasResults(int classIndex) {
         return counts[classIndex] > 0;
     }
 
-    /** Whether a class has results enough for its mean to be more than chance. */
+    /** Returns whether a class has enough results for its mean to be more than chance. */
     public boolean isMeanReliable(int classIndex) {
         return counts[classIndex] * MEAN_GAIN >= RELIABLE_WINDOW_SHARE;
     }
 
-    /** Whether a latency is above that of most attempts of its class. */
+    /** Returns whether a latency is higher than that of most attempts of its class. */
     public boolean isSlowerThanMost(int classIndex, long latencyUs) {
         return latencyUs > SLOW_MEAN_SHARE * meanUs[classIndex];
     }
--- a/src/main/java/loadbalancer/policy/statistics/ServiceRate.java
+++ b/src/main/java/loadbalancer/policy/statistics/ServiceRate.java
@@ -1,27 +1,27 @@
 package loadbalancer.policy.statistics;
 
-/** The running mean of the time between two successful responses at this instance. */
+/** The rate of successful responses at this instance, as the running mean of the time between two of them. */
 public final class ServiceRate {
-    /** Assumed before there are any responses. */
+    /** Assumed mean interval before the first response. */
     private static final double INITIAL_INTERVAL_US = 50_000;
 
     private double meanIntervalUs = INITIAL_INTERVAL_US;
     private long lastResponseAtUs;
 
-    /** An attempt has begun: intervals are counted from the first one on. */
+    /** Starts the first interval when the first attempt starts. */
     public void onAttemptStarted(long nowUs) {
         if (lastResponseAtUs == 0) {
             lastResponseAtUs = nowUs;
         }
     }
 
-    /** An attempt has succeeded. */
+    /** Ends an interval at a successful response and starts the next one. */
     public void onSuccess(long nowUs) {
         meanIntervalUs += LatencyStatistics.MEAN_GAIN * (nowUs - lastResponseAtUs - meanIntervalUs);
         lastResponseAtUs = nowUs;
     }
 
-    /** The mean interval, or more if there has been no response for long; in microseconds. */
+    /** Returns the mean interval, or a longer one if the last response was long ago. */
     public double intervalUs(long nowUs) {
         return Math.max(meanIntervalUs, LatencyStatistics.MEAN_GAIN * (nowUs - lastResponseAtUs));
     }
--- a/src/main/java/loadbalancer/policy/statistics/TimelyResponseRate.java
+++ b/src/main/java/loadbalancer/policy/statistics/TimelyResponseRate.java
@@ -1,20 +1,20 @@
 package loadbalancer.policy.statistics;
 
-/** The running share of attempts that were answered within the latency objective. */
+/** The running share of attempts with a successful response within the latency objective. */
 public final class TimelyResponseRate {
-    /** Weight of a new result: large, to follow an overload. */
+    /** Weight of a new result; large, so that the share follows an overload quickly. */
     public static final double GAIN = 1.0 / 8;
 
     private static final double INITIAL_SHARE = 0.75;
 
     private double share = INITIAL_SHARE;
 
-    /** Records whether an attempt was answered in time. */
+    /** Records whether the response to an attempt was successful and within the latency objective. */
     public void record(boolean timely) {
         share += GAIN * ((timely ? 1 : 0) - share);
     }
 
-    /** The share of timely responses, from 0 to 1. */
+    /** Returns the share of timely responses, from 0 to 1. */
     public double share() {
         return share;
     }
--- a/src/main/java/loadbalancer/policy/statistics/package-info.java
+++ b/src/main/java/loadbalancer/policy/statistics/package-info.java
@@ -1,2 +1,2 @@
-/** Running statistics of this instance's own attempts: latencies, the rate of responses, and how many are timely. */
+/** Running statistics of this instance's attempts: latencies, and the rate and timeliness of responses. */
 package loadbalancer.policy.statistics;
