--- a/src/main/java/loadbalancer/policy/statistics/LatencyStatistics.java
+++ b/src/main/java/loadbalancer/policy/statistics/LatencyStatistics.java
@@ -11,7 +11,7 @@
     /** Growth of the minimum mean with each result, so that it adapts to a lasting change of the requests' work. */
     private static final double LEAST_MEAN_DRIFT = 1.0001;
 
-    /** Share of the mean above which a latency is slower than most: latencies are skewed, with the median below the mean. */
+    /** Share of the mean above which a latency is slower than most: latencies are skewed, so their median is lower. */
     private static final double SLOW_MEAN_SHARE = 0.8;
 
     private final double[] meanUs;
--- a/src/test/java/loadbalancer/policy/FleetSlowStartTest.java
+++ b/src/test/java/loadbalancer/policy/FleetSlowStartTest.java
@@ -11,9 +11,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Slow start over all instances of a fleet: together they stay within the budget of a warming endpoint and use it. */
+/**
+ * Tests for slow start in a fleet, whose instances together use the budget of a warming endpoint and do not exceed it.
+ */
 class FleetSlowStartTest {
-    /** The id of the endpoint that is warming up; the keys and instances that it gets follow from its hash. */
+    /** Id of the endpoint that is warming up; the hash of the id determines its keys and the instances that use it. */
     private static final String WARMING = "cold";
 
     private static final double QUOTA_PER_SECOND = 330;
@@ -25,10 +27,10 @@
         return new EndpointListEntry(id, 0, 0, EndpointState.READY, 1, atUs);
     }
 
-    /** All instances learn of a start at the same time. */
+    /** All instances learn of the start at the same time. Guards against first attempts that are sent all at once. */
     @Test
     void firstAttemptsOfManyInstancesAreSpreadOverTime() {
-        int within = 0;
+        int instancesWithAttempt = 0;
         for (int index = 0; index < 40; index++) {
             LoadBalancerSettings settings = LoadBalancerFixture.settings();
             settings.instances = 24;
@@ -41,10 +43,10 @@
             for (int i = 0; i < 15; i++) {
                 instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 20_000);
             }
-            within += instance.attemptCountAt(WARMING) > 0 ? 1 : 0;
+            instancesWithAttempt += instance.attemptCountAt(WARMING) > 0 ? 1 : 0;
         }
-        // The slow start interval is about two seconds: in 0.3 s a sixth of the instances may make an attempt.
-        assertTrue(within <= 14, "instances with an attempt in 0.3 s: " + within);
+        // The slow start interval is about two seconds: about a sixth of the instances make an attempt within 0.3 s.
+        assertTrue(instancesWithAttempt <= 14, "instances with an attempt in 0.3 s: " + instancesWithAttempt);
     }
 
     /** One instance of a fleet with random traffic; instances with an odd index restart during slow start. */
@@ -52,7 +54,7 @@
         private final LoadBalancerSettings settings;
         private final List<EndpointListEntry> entries = new ArrayList<>();
         private final SplittableRandom random;
-        private final List<Long> warmingAttemptsAtUs = new ArrayList<>();
+        private final List<Long> warmingAttemptTimesUs = new ArrayList<>();
         private LoadBalancerFixture instance;
         private boolean notified;
         private boolean restarted;
@@ -70,7 +72,7 @@
             entries.add(startedAt(WARMING, START_US));
         }
 
-        /** The times of the attempts at the warming endpoint. */
+        /** Sends random traffic until the end and returns the start times of attempts at the warming endpoint. */
         List<Long> run(double requestsPerSecond) {
             while (instance.nowUs < END_US) {
                 instance.advance((long) (random.nextDouble() * 2e6 / requestsPerSecond));
@@ -85,7 +87,7 @@
                 }
                 sendRequest();
             }
-            return warmingAttemptsAtUs;
+            return warmingAttemptTimesUs;
         }
 
         private void restart() {
@@ -98,11 +100,11 @@
         private void sendRequest() {
             int before = instance.startedAttempts.size();
             instance.sendRequestWithKey("k" + random.nextInt(400), random.nextInt(5));
-            // Some attempts fail, so that retries count too.
+            // Some attempts fail, so that retries are counted too.
             for (int i = before; i < instance.startedAttempts.size(); i++) {
                 LoadBalancerFixture.StartedAttempt attempt = instance.startedAttempts.get(i);
                 if (attempt.endpointId().equals(WARMING)) {
-                    warmingAttemptsAtUs.add(attempt.startedAtUs());
+                    warmingAttemptTimesUs.add(attempt.startedAtUs());
                 }
                 AttemptResult result = random.nextInt(10) == 0 ? AttemptResult.CONNECT_FAILED : AttemptResult.OK;
                 instance.completeLastAttempt(attempt.requestId(), result, 1_000);
@@ -144,7 +146,7 @@
             settings.instanceIndex = index;
             settings.tenants.set(0, new Tenant("tenant", QUOTA_PER_SECOND));
             settings.endpointsCacheKeys = endpointsCacheKeys;
-            // Traffic is uneven: some instances get several times the mean.
+            // Traffic is uneven: some instances get several times the mean rate.
             double requestsPerSecond = load * QUOTA_PER_SECOND / instances * (index % 6 == 0 ? 3.5 : 0.5);
             attemptsAtUs.addAll(new FleetMember(settings).run(requestsPerSecond));
         }
@@ -153,7 +155,7 @@
         assertWithinBudget(attemptsAtUs, settings);
     }
 
-    /** In each overload window, with two standard deviations and two attempts for chance. */
+    /** Checks each overload window, with a margin of two standard deviations and two attempts for random variation. */
     private static void assertWithinBudget(List<Long> attemptsAtUs, LoadBalancerSettings settings) {
         for (int from = 0, to = 0; from < attemptsAtUs.size(); from++) {
             long fromUs = attemptsAtUs.get(from);
@@ -166,13 +168,13 @@
             double budget = settings.overloadFactor * capacity * settings.overloadWindowUs / 1e6;
             assertTrue(
                     to - from <= budget + 2 * Math.sqrt(budget) + 2,
-                    (to - from) + " at " + (fromUs - START_US) / 1e6 + " s, where " + budget + " are allowed");
+                    (to - from) + " attempts in the window from " + (fromUs - START_US) / 1e6 + " s, budget " + budget);
         }
     }
 
-    /** After a rollout most endpoints are warming up: requests that are not sent to them find no others. */
+    /** After a rollout most endpoints are warming up: requests that are not sent to them find no other endpoints. */
     @Test
-    void instancesUseTheCapacityOfAFleetThatIsWarmingUp() {
+    void instancesUseTheCapacityOfEndpointsThatAreAllWarmingUp() {
         int instances = 14;
         int attempts = 0;
         for (int index = 0; index < instances; index++) {
@@ -195,10 +197,10 @@
                 attempts += i == 249 ? -completed : i == 499 ? completed : 0;
             }
         }
-        // More than a third of slow start has passed: half of 840 a second is their capacity, and three times that the
-        // most that they may be sent.
-        double perSecond = attempts / (250 * 0.016);
-        assertTrue(perSecond > 0.2 * 840 && perSecond < 0.5 * 840 * 3, "attempts a second: " + perSecond);
+        // More than a third of slow start has passed: the endpoints' capacity is about half of 840 per second, and at
+        // most three times that may be sent.
+        double attemptsPerSecond = attempts / (250 * 0.016);
+        assertTrue(attemptsPerSecond > 0.2 * 840 && attemptsPerSecond < 0.5 * 840 * 3, "attempts per second: " + attemptsPerSecond);
     }
 
     private static List<EndpointListEntry> warmingEndpoints(long startedAtUs) {
--- a/src/test/java/loadbalancer/policy/KeyAffinityTest.java
+++ b/src/test/java/loadbalancer/policy/KeyAffinityTest.java
@@ -14,7 +14,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Key affinity: where endpoints cache keys, the picks are determined by the request's key. */
+/** Tests for key affinity: if endpoints cache keys, the key of a request determines which endpoints are picked. */
 class KeyAffinityTest {
     private static final int ENDPOINTS = 20;
     private static final int KEYS = 400;
@@ -28,7 +28,7 @@
         return new LoadBalancerFixture(settings, 50 + index).withEndpoints(ENDPOINTS);
     }
 
-    private static String serve(LoadBalancerFixture instance, String key, AttemptResult result) {
+    private static String sendAndComplete(LoadBalancerFixture instance, String key, AttemptResult result) {
         long id = instance.sendRequestWithKey(key, LoadBalancerFixture.NON_IDEMPOTENT);
         String endpoint = instance.lastAttempt(id).endpointId();
         instance.completeLastAttempt(id, result, 5_000);
@@ -36,14 +36,14 @@
     }
 
     private static Map<String, String> endpointsByKey(LoadBalancerFixture instance) {
-        Map<String, String> endpointsOfKeys = new HashMap<>();
+        Map<String, String> endpoints = new HashMap<>();
         for (int k = 0; k < KEYS; k++) {
-            endpointsOfKeys.put("k" + k, serve(instance, "k" + k, AttemptResult.OK));
+            endpoints.put("k" + k, sendAndComplete(instance, "k" + k, AttemptResult.OK));
         }
-        return endpointsOfKeys;
+        return endpoints;
     }
 
-    /** Sends a request that stays in flight; the endpoint of its attempt. */
+    /** Sends a request that stays in flight and returns the endpoint of its attempt. */
     private static String send(LoadBalancerFixture instance, String key) {
         return instance.lastAttempt(instance.sendRequestWithKey(key, LoadBalancerFixture.NON_IDEMPOTENT))
                 .endpointId();
@@ -64,17 +64,17 @@
     }
 
     @Test
-    void keysAreIgnoredWhereEndpointsDoNotCacheThem() {
+    void keysAreIgnoredIfEndpointsDoNotCacheThem() {
         LoadBalancerFixture instance = instance(0, false);
         Map<String, Integer> attemptsByEndpoint = new HashMap<>();
         for (int i = 0; i < 100; i++) {
-            attemptsByEndpoint.merge(serve(instance, "same", AttemptResult.OK), 1, Integer::sum);
+            attemptsByEndpoint.merge(sendAndComplete(instance, "same", AttemptResult.OK), 1, Integer::sum);
         }
         assertTrue(attemptsByEndpoint.size() > 10, attemptsByEndpoint.toString());
     }
 
     @Test
-    void theSecondPickOfAKeyIsUsedWhileTheFirstHasMoreInFlight() {
+    void theSecondPickOfAKeyIsUsedWhileTheFirstHasMoreRequestsInFlight() {
         LoadBalancerFixture instance = instance(0, true);
         String first = send(instance, "hot");
         String second = send(instance, "hot");
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aRemovedEndpointMovesItsOwnKeysAndFewOthers() {
+    void removingAnEndpointMovesItsOwnKeysAndFewOthers() {
         LoadBalancerFixture instance = instance(0, true);
         Map<String, String> before = endpointsByKey(instance);
         instance.receiveEndpointList(
@@ -108,27 +108,27 @@
                 .filter(candidate -> before.get(candidate).equals("s3"))
                 .findFirst()
                 .get();
-        // After two errors, two in three of its keys are picked elsewhere.
-        assertEquals("s3", serve(instance, key, AttemptResult.ERROR));
+        // Errors at s3 lower its weight, so that some of its keys are picked elsewhere.
+        assertEquals("s3", sendAndComplete(instance, key, AttemptResult.ERROR));
         for (int i = 0;
-                i < KEYS && !serve(instance, "x" + i, AttemptResult.ERROR).equals("s3");
+                i < KEYS && !sendAndComplete(instance, "x" + i, AttemptResult.ERROR).equals("s3");
                 i++) {
             instance.receiveEndpointList(EndpointListKind.COMPLETE, List.of());
             instance.withEndpoints(ENDPOINTS);
         }
-        long unmoved = 0;
+        long stayed = 0;
         long moved = 0;
         for (Map.Entry<String, String> entry : before.entrySet()) {
             long id = instance.sendRequestWithKey(entry.getKey(), LoadBalancerFixture.NON_IDEMPOTENT);
             String endpointBefore = entry.getValue();
             String endpointAfter = instance.lastAttempt(id).endpointId();
-            unmoved += endpointBefore.equals("s3") && endpointAfter.equals("s3") ? 1 : 0;
+            stayed += endpointBefore.equals("s3") && endpointAfter.equals("s3") ? 1 : 0;
             moved += !endpointBefore.equals("s3") && !endpointAfter.equals(endpointBefore) ? 1 : 0;
             instance.loadBalancer.onClientDisconnected(instance.nowUs, id);
             instance.completeLastAttempt(id, AttemptResult.CANCELLED, 0);
         }
         long keysBefore = before.values().stream().filter("s3"::equals).count();
-        assertTrue(unmoved < keysBefore, "keys that stayed: " + unmoved + " of " + keysBefore);
+        assertTrue(stayed < keysBefore, "keys that stayed at s3: " + stayed + " of " + keysBefore);
         assertTrue(moved < KEYS / 20, "other keys moved: " + moved);
     }
 
@@ -145,14 +145,14 @@
         }
         assertTrue(used.size() >= 2 && used.size() <= 8, used.toString());
         assertNull(instance.lastAttempt(id));
-        // Requests with other keys are not delayed for long by the queued one.
+        // The queued request does not delay requests with other keys for long.
         long other = instance.sendRequestWithKey("cool", LoadBalancerFixture.NON_IDEMPOTENT);
         instance.advance(10_000);
         assertNotNull(instance.lastAttempt(other));
     }
 
     @Test
-    void whereEndpointsCacheKeysARejectionCutsAHighInitialLimitToTheRequestsInFlight() {
+    void aRejectionCutsAHighInitialLimitToTheRequestsInFlightIfEndpointsCacheKeys() {
         LoadBalancerFixture instance = instance(0, true);
         long[] ids = new long[24];
         for (int i = 0; i < ids.length; i++) {
@@ -173,19 +173,19 @@
     /** Guards against retries at endpoints that have not cached the key. */
     @Test
     void aRejectedRequestIsRetriedAtTheEndpointsOfItsKey() {
-        List<List<String>> paths = new ArrayList<>();
+        List<List<String>> attemptedEndpoints = new ArrayList<>();
         for (int index = 0; index < 4; index++) {
             LoadBalancerFixture instance = instance(index, true);
             long id = instance.sendRequestWithKey("hot", LoadBalancerFixture.NON_IDEMPOTENT);
             instance.completeLastAttempt(id, AttemptResult.REJECTED, 1_000);
             instance.completeLastAttempt(id, AttemptResult.REJECTED, 1_000);
-            paths.add(instance.startedAttempts.stream()
+            attemptedEndpoints.add(instance.startedAttempts.stream()
                     .map(LoadBalancerFixture.StartedAttempt::endpointId)
                     .toList());
         }
-        assertEquals(3, new HashSet<>(paths.get(0)).size());
+        assertEquals(3, new HashSet<>(attemptedEndpoints.get(0)).size());
         // All instances retry in the same order.
-        assertEquals(1, new HashSet<>(paths).size());
+        assertEquals(1, new HashSet<>(attemptedEndpoints).size());
     }
 
     @Test
@@ -197,7 +197,7 @@
         for (int k = 0; k < 8; k++) {
             started.add(instance.sendRequestWithKey("k" + k, LoadBalancerFixture.NON_IDEMPOTENT));
         }
-        // Each rejects one request: the limits fall to what it has in flight.
+        // Each endpoint rejects one request, which cuts its limit to its requests in flight.
         for (String endpoint : List.of("s0", "s1")) {
             long rejected = started.stream()
                     .filter(id -> instance.lastAttempt(id).endpointId().equals(endpoint))
@@ -209,23 +209,23 @@
         for (int k = 0; k < 300; k++) {
             instance.sendRequestWithKey("j" + k, LoadBalancerFixture.NON_IDEMPOTENT);
         }
-        assertTrue(instance.attemptCountAt("s2") > 0, "no attempt at it");
-        assertTrue(instance.attemptCountAt("s2") <= 10, "attempts at it at once: " + instance.attemptCountAt("s2"));
+        assertTrue(instance.attemptCountAt("s2") > 0, "no attempt at the added endpoint");
+        assertTrue(instance.attemptCountAt("s2") <= 10, "attempts at the added endpoint at once: " + instance.attemptCountAt("s2"));
     }
 
-    /** The latency objective is 200 ms. */
+    /** The latency objective is 200 ms, half of which is 100 ms. */
     @Test
-    void responsesUpToHalfOfTheirLatencyObjectiveLeaveTheLimit() {
+    void responsesWithinHalfOfTheirLatencyObjectiveDoNotCutTheLimit() {
         assertEquals(10, attemptsAtOnceAfterResponses(100_000));
     }
 
     @Test
-    void responsesLongAfterHalfOfTheirLatencyObjectiveCutTheLimit() {
+    void responsesWellBeyondHalfOfTheirLatencyObjectiveCutTheLimit() {
         int attempts = attemptsAtOnceAfterResponses(130_000);
         assertTrue(attempts <= 2, "attempts at once at a slow endpoint: " + attempts);
     }
 
-    /** How many of ten requests at once are sent to an endpoint that has had this latency. */
+    /** Returns how many of ten simultaneous requests are sent to an endpoint whose responses had this latency. */
     private static int attemptsAtOnceAfterResponses(long latencyUs) {
         LoadBalancerSettings settings = LoadBalancerFixture.settings();
         settings.endpointsCacheKeys = true;
--- a/src/test/java/loadbalancer/policy/LargeFleetTest.java
+++ b/src/test/java/loadbalancer/policy/LargeFleetTest.java
@@ -12,7 +12,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What differs in large fleets: subsets of endpoints, slow responses as errors, load shedding, bursts. */
+/** Tests for large fleets: subsets of endpoints, slow responses that count as errors, load shedding and bursts. */
 class LargeFleetTest {
     private static final int INSTANCES = 240;
     private static final int ENDPOINTS = 40;
@@ -24,7 +24,7 @@
         return new LoadBalancerFixture(settings, 100 + index);
     }
 
-    /** The endpoints at which an instance makes attempts while all respond quickly to one request at a time. */
+    /** Sends 100 requests one at a time, with quick responses, and returns the endpoints that got attempts. */
     private static Set<String> endpointsUsedBy(LoadBalancerFixture instance) {
         Set<String> endpoints = new HashSet<>();
         for (int i = 0; i < 100; i++) {
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void subsetsOfALargeFleetShareEndpointsEvenly() {
+    void endpointsAreSharedEvenlyByTheInstancesOfALargeFleet() {
         Map<String, Integer> instanceCounts = new HashMap<>();
         for (int index = 0; index < INSTANCES; index++) {
             Set<String> used = endpointsUsedBy(instance(index).withEndpoints(ENDPOINTS));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void instancesUseFewerEndpointsOfAShrunkFleet() {
+    void theInstancesPerEndpointAreLimitedIfFewEndpointsAreListed() {
         Map<String, Integer> instanceCounts = new HashMap<>();
         for (int index = 0; index < INSTANCES; index++) {
             endpointsUsedBy(instance(index).withEndpoints(8))
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aSmallFleetUsesAllEndpoints() {
+    void anInstanceOfASmallFleetUsesAllEndpoints() {
         LoadBalancerSettings settings = LoadBalancerFixture.settings();
         settings.instances = 5;
         assertEquals(
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aRemovedEndpointChangesFewSubsetsAndItsConnectionsAreClosed() {
+    void removingAnEndpointChangesFewSubsetsAndClosesUnusedConnections() {
         int moved = 0;
         for (int index = 0; index < 60; index++) {
             LoadBalancerFixture instance = instance(index).withEndpoints(ENDPOINTS);
@@ -98,7 +98,7 @@
             instance.completeLastAttempt(id, AttemptResult.OK, atSlow ? 12_000 : 4_000);
             instance.advance(200_000);
         }
-        // An even share is 100, and the choice of two leaves it no less while nothing is in flight.
+        // An even share is 100; picking the less loaded of two endpoints does not lower it while nothing is in flight.
         assertTrue(attemptsAtSlow < 70, "attempts at the slow endpoint: " + attemptsAtSlow + " of 400");
     }
 
@@ -117,7 +117,7 @@
             instance.advance(4_000_000);
         }
         assertTrue(rejectedAtOnce > 100 && rejectedAtOnce < 200, "rejected at once: " + rejectedAtOnce);
-        // Some are still admitted, so that the instance learns that responses are timely again.
+        // Some requests are still admitted, so that the instance learns that responses are timely again.
         for (int i = 0; i < 400; i++) {
             long id = instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
             if (instance.attemptCount(id) > 0) {
@@ -142,15 +142,15 @@
         }
     }
 
-    /** Guards against a tenant over its quota that uses up the capacity for bursts within the quotas. */
+    /** Guards against a tenant over its quota that uses up the capacity for bursts of tenants within their quotas. */
     @Test
-    void burstsOverQuotaAreSmallerThanWithinIt() {
+    void burstsOfATenantOverItsQuotaAreSmallerThanThoseWithinAQuota() {
         int overQuota = attemptsOfBurst(0);
         int withinQuota = attemptsOfBurst(1);
-        assertTrue(overQuota < withinQuota, "attempts over quota and within it: " + overQuota + " and " + withinQuota);
+        assertTrue(overQuota < withinQuota, "attempts over quota: " + overQuota + ", within quota: " + withinQuota);
     }
 
-    /** The attempts of forty requests at once of a tenant, of which the first one is over its quota. */
+    /** Returns the number of attempts for forty simultaneous requests of a tenant; tenant 0 is over its quota. */
     private static int attemptsOfBurst(int tenant) {
         LoadBalancerSettings settings = LoadBalancerFixture.settings();
         settings.instances = INSTANCES;
@@ -162,7 +162,7 @@
         LoadBalancerFixture instance = new LoadBalancerFixture(settings, 103).withEndpoints(ENDPOINTS);
         for (int i = 0; i < 100; i++) {
             long id = instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT, 1, 1_000_000);
-            // One response in five is late.
+            // One response in five is later than its latency objective.
             if (instance.attemptCount(id) > 0) {
                 instance.completeLastAttempt(id, AttemptResult.OK, i % 5 == 3 ? 210_000 : 5_000);
             }
@@ -175,7 +175,7 @@
         return instance.startedAttempts.size() - before;
     }
 
-    /** Guards against initial limits so high that no instance reaches them, and that none would therefore cut. */
+    /** Guards against initial limits that are so high that no instance reaches them, so that none would cut them. */
     @Test
     void initialLimitsOfAllInstancesTogetherDoNotOverloadAnEndpoint() {
         int inFlight = 0;
@@ -190,7 +190,7 @@
             }
             inFlight += instance.startedAttempts.size();
         }
-        // At most twice what two cores with a queue of ten each would serve in time.
+        // The upper bound is twice the number of requests that two cores with a queue of ten each serve in time.
         assertTrue(inFlight >= 14 && inFlight <= 40, "in flight at one endpoint: " + inFlight);
     }
 }
--- a/src/test/java/loadbalancer/policy/OutlierDetectionTest.java
+++ b/src/test/java/loadbalancer/policy/OutlierDetectionTest.java
@@ -13,25 +13,28 @@
 import loadbalancer.policy.log.EndpointEjected;
 import loadbalancer.policy.log.EndpointRestored;
 
-/** Ejection and probation of failing or unresponsive endpoints, and which endpoints requests use meanwhile. */
+/** Tests for ejection and probation of failing or unresponsive endpoints, and for the choice of endpoints meanwhile. */
 class OutlierDetectionTest {
 
-    /** Completes one request; {@code s0} fails, all others succeed. Whether its first attempt was at {@code s0}. */
-    private static boolean completeWithFailingEndpoint(LoadBalancerFixture instance, int classIndex) {
+    /**
+     * Completes a request whose attempts fail at {@code s0} and succeed elsewhere; returns whether its first attempt
+     * was at {@code s0}.
+     */
+    private static boolean completeRequestFailingAtS0(LoadBalancerFixture instance, int classIndex) {
         long id = instance.sendRequest(classIndex);
-        boolean atFailing = instance.lastAttempt(id).endpointId().equals("s0");
-        instance.completeLastAttempt(id, atFailing ? AttemptResult.ERROR : AttemptResult.OK, 5_000);
-        if (atFailing && instance.attemptCount(id) > 1) {
+        boolean isAtFailing = instance.lastAttempt(id).endpointId().equals("s0");
+        instance.completeLastAttempt(id, isAtFailing ? AttemptResult.ERROR : AttemptResult.OK, 5_000);
+        if (isAtFailing && instance.attemptCount(id) > 1) {
             instance.completeLastAttempt(id, AttemptResult.OK, 5_000);
         }
-        return atFailing;
+        return isAtFailing;
     }
 
-    /** Four endpoints, of which {@code s0} has failed all its attempts among 400 requests. */
-    private static LoadBalancerFixture withFailingEndpoint() {
+    /** Returns an instance with four endpoints after 400 requests, whose attempts at {@code s0} all failed. */
+    private static LoadBalancerFixture instanceWithFailingEndpoint() {
         LoadBalancerFixture instance = new LoadBalancerFixture().withEndpoints(4);
         for (int i = 0; i < 400; i++) {
-            completeWithFailingEndpoint(instance, LoadBalancerFixture.IDEMPOTENT);
+            completeRequestFailingAtS0(instance, LoadBalancerFixture.IDEMPOTENT);
         }
         return instance;
     }
@@ -42,19 +45,19 @@
 
     @Test
     void aFailingEndpointIsEjectedAndItsProbationAttemptsBecomeRare() {
-        LoadBalancerFixture instance = withFailingEndpoint();
+        LoadBalancerFixture instance = instanceWithFailingEndpoint();
         assertEjected(instance);
         int probationAttempts = 0;
         long untilUs = instance.nowUs + 20_000_000;
         while (instance.nowUs < untilUs) {
-            probationAttempts += completeWithFailingEndpoint(instance, LoadBalancerFixture.IDEMPOTENT) ? 1 : 0;
+            probationAttempts += completeRequestFailingAtS0(instance, LoadBalancerFixture.IDEMPOTENT) ? 1 : 0;
         }
         assertTrue(
                 probationAttempts >= 2 && probationAttempts <= 14, "probation attempts in 20 s: " + probationAttempts);
     }
 
-    /** Ten endpoints at which one attempt in 14 is reset, and all attempts at the one that is named. */
-    private static LoadBalancerFixture withResets(String failing) {
+    /** Returns an instance with ten endpoints that reset one attempt in 14, or every attempt at {@code failing}. */
+    private static LoadBalancerFixture instanceWithResets(String failing) {
         LoadBalancerFixture instance = new LoadBalancerFixture().withEndpoints(10);
         SplittableRandom random = new SplittableRandom(3);
         for (int i = 0; i < 4_000; i++) {
@@ -70,26 +73,26 @@
 
     @Test
     void failuresCommonToAllEndpointsEjectNone() {
-        assertEquals(List.of(), withResets("none").events);
+        assertEquals(List.of(), instanceWithResets("none").events);
     }
 
     @Test
     void anEndpointThatFailsFarMoreThanTheOthersIsEjected() {
-        assertEjected(withResets("s0"));
+        assertEjected(instanceWithResets("s0"));
     }
 
     @Test
     void nonIdempotentRequestsAreNotUsedForProbation() {
-        LoadBalancerFixture instance = withFailingEndpoint();
+        LoadBalancerFixture instance = instanceWithFailingEndpoint();
         instance.advance(20_000_000);
         for (int i = 0; i < 200; i++) {
-            assertTrue(!completeWithFailingEndpoint(instance, LoadBalancerFixture.NON_IDEMPOTENT));
+            assertTrue(!completeRequestFailingAtS0(instance, LoadBalancerFixture.NON_IDEMPOTENT));
         }
     }
 
     @Test
     void onlySeveralSuccessesInARowRestoreAnEndpoint() {
-        LoadBalancerFixture instance = withFailingEndpoint();
+        LoadBalancerFixture instance = instanceWithFailingEndpoint();
         instance.advance(20_000_000);
         assertEquals("s0", instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 5_000));
         assertTrue(instance.events.stream().noneMatch(event -> event instanceof EndpointRestored));
@@ -104,7 +107,7 @@
         for (int i = 0; i < 300; i++) {
             instance.sendAndComplete(LoadBalancerFixture.NON_IDEMPOTENT, AttemptResult.ERROR, 5_000);
         }
-        // All fail: two may be ejected, and requests must still be sent to the others and not be queued.
+        // All endpoints fail and two may be ejected; requests must be sent to the other two and not be queued.
         long id = instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
         assertNotNull(instance.lastAttempt(id));
     }
@@ -115,23 +118,23 @@
         for (int i = 0; i < 100; i++) {
             instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
-        int toUnresponsive = 0;
+        int attemptsAtUnresponsive = 0;
         for (int i = 0; i < 80; i++) {
             long id = instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
             if (instance.lastAttempt(id).endpointId().equals("s0")) {
-                toUnresponsive++;
+                attemptsAtUnresponsive++;
             } else {
                 instance.completeLastAttempt(id, AttemptResult.OK, 10_000);
             }
         }
-        assertTrue(toUnresponsive <= 5, "attempts at the unresponsive endpoint: " + toUnresponsive);
+        assertTrue(attemptsAtUnresponsive <= 5, "attempts at the unresponsive endpoint: " + attemptsAtUnresponsive);
     }
 
     @Test
     void anOverloadedEndpointThatStillRespondsIsNotEjectedForTimeouts() {
         LoadBalancerFixture instance = new LoadBalancerFixture().withEndpoints(2);
         for (int round = 0; round < 80; round++) {
-            // Always one more than the limits allow, so that they are reached and grow.
+            // Each burst has one request more than the limits allow, so that the limits are reached and grow.
             List<Long> burst = new ArrayList<>();
             do {
                 burst.add(instance.sendRequest(LoadBalancerFixture.IDEMPOTENT));
@@ -157,8 +160,11 @@
                 instance.events.toString());
     }
 
-    /** Two local and six remote endpoints where crossing zones has a cost, after 50 requests one at a time. */
-    private static LoadBalancerFixture withRemoteEndpoints() {
+    /**
+     * Returns an instance with two local and six remote endpoints and a cost for crossing zones, after 50 successive
+     * requests.
+     */
+    private static LoadBalancerFixture instanceWithRemoteEndpoints() {
         LoadBalancerSettings settings = LoadBalancerFixture.settings();
         settings.crossZoneCost = 0.02;
         LoadBalancerFixture instance = new LoadBalancerFixture(settings, 5);
@@ -178,15 +184,15 @@
     }
 
     @Test
-    void localEndpointsArePreferredWhereCrossingZonesHasACost() {
-        List<LoadBalancerFixture.StartedAttempt> attempts = withRemoteEndpoints().startedAttempts;
+    void localEndpointsArePreferredIfCrossingZonesHasACost() {
+        List<LoadBalancerFixture.StartedAttempt> attempts = instanceWithRemoteEndpoints().startedAttempts;
         assertEquals(50, attempts.size());
         attempts.forEach(attempt -> assertTrue(isLocal(attempt), attempt.toString()));
     }
 
     @Test
     void remoteEndpointsAreUsedWhenLocalOnesAreBusy() {
-        LoadBalancerFixture instance = withRemoteEndpoints();
+        LoadBalancerFixture instance = instanceWithRemoteEndpoints();
         long remote = 0;
         for (int i = 0; i < 12; i++) {
             long id = instance.sendRequest(LoadBalancerFixture.IDEMPOTENT);
@@ -197,7 +203,7 @@
 
     @Test
     void attemptsInFlightAtARemovedEndpointUseNoCapacityOfTheOthers() {
-        // Guards against attempts at removed endpoints that use up the sum of all limits.
+        // Guards against counting attempts at removed endpoints towards the sum of all limits.
         LoadBalancerFixture instance = new LoadBalancerFixture().withEndpoints(1);
         for (int i = 0; i < 4; i++) {
             assertNotNull(instance.lastAttempt(instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT)));
--- a/src/test/java/loadbalancer/policy/SlowStartTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Slow start at one instance: its share of the budget of an endpoint that is warming up. */
+/** Tests for slow start at one instance, which spends its share of the budget of an endpoint that is warming up. */
 class SlowStartTest {
 
-    /** The id of the endpoint that is warming up; the keys that it gets follow from its hash. */
+    /** Id of the endpoint that is warming up; the hash of the id determines the keys that the endpoint gets. */
     private static final String WARMING = "cold";
 
     private static EndpointListEntry startedAt(long atUs) {
@@ -21,35 +21,35 @@
     }
 
     @Test
-    void aWarmingEndpointGetsItsBudgetWhateverTheArrivalRate() {
+    void theBudgetOfAWarmingEndpointDoesNotDependOnTheArrivalRate() {
         LoadBalancerFixture instance = new LoadBalancerFixture().withEndpoints(4);
         for (int i = 0; i < 400; i++) {
             instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
         instance.receiveEndpointList(EndpointListKind.CHANGES, List.of(startedAt(instance.nowUs)));
-        // 100 responses a second from five endpoints: an even share is 20 a second, of which a warming endpoint gets a
-        // fifth.
+        // With 100 responses per second from five endpoints, an even share is 20 per second. A warming endpoint gets a
+        // fifth of it.
         for (int round = 0; round < 200; round++) {
             List<Long> burst = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 burst.add(instance.sendRequest(LoadBalancerFixture.IDEMPOTENT));
             }
             instance.advance(10_000);
-            // Only one of ten gets a response, so that arrivals are ten times what the endpoints serve.
+            // Only one request in ten gets a response, so that ten times as many arrive as the endpoints serve.
             burst.stream()
                     .map(instance::lastAttempt)
                     .filter(attempt -> attempt != null && !attempt.endpointId().equals(WARMING))
                     .findFirst()
                     .ifPresent(attempt -> instance.completeLastAttempt(attempt.requestId(), AttemptResult.OK, 0));
         }
-        long atWarming = instance.attemptCountAt(WARMING);
-        assertTrue(atWarming >= 1 && atWarming <= 16, "attempts at the warming endpoint in two seconds: " + atWarming);
+        long attemptsAtWarming = instance.attemptCountAt(WARMING);
+        assertTrue(attemptsAtWarming >= 1 && attemptsAtWarming <= 16, "attempts at the warming endpoint in two seconds: " + attemptsAtWarming);
     }
 
-    /** The wall clocks of endpoints may be stepped by any amount. */
+    /** Guards against relying on the start time in the list: the wall clock behind it may be stepped by any amount. */
     @ParameterizedTest
     @ValueSource(longs = {-3_600_000_000L, -5_000_000, 0, 5_000_000, 3_600_000_000L})
-    void aRestartCountsFromItsNotificationWhateverTheTimeInTheList(long aheadUs) {
+    void slowStartBeginsAtTheNotificationWhateverTheStartTimeInTheList(long listAheadUs) {
         LoadBalancerFixture instance = new LoadBalancerFixture();
         instance.nowUs = 10_000_000_000L;
         instance.withEndpoints(3);
@@ -62,23 +62,23 @@
         for (int i = 0; i < 100; i++) {
             instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
-        instance.receiveEndpointList(EndpointListKind.CHANGES, List.of(startedAt(instance.nowUs + aheadUs)));
+        instance.receiveEndpointList(EndpointListKind.CHANGES, List.of(startedAt(instance.nowUs + listAheadUs)));
         for (int i = 0; i < 300; i++) {
             instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
-        long atWarming = instance.attemptCountAt(WARMING);
-        assertTrue(atWarming >= 2 && atWarming <= 25, "attempts of 300 at the warming endpoint of four: " + atWarming);
+        long attemptsAtWarming = instance.attemptCountAt(WARMING);
+        assertTrue(attemptsAtWarming >= 2 && attemptsAtWarming <= 25, "attempts at the warming endpoint, one of four, in 300 requests: " + attemptsAtWarming);
         instance.advance(LoadBalancerFixture.settings().slowStartUs);
         for (int i = 0; i < 300; i++) {
             instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
-        long atWarm = instance.attemptCountAt(WARMING) - atWarming;
-        assertTrue(atWarm >= 50, "attempts of 300 after slow start: " + atWarm);
+        long attemptsAfterSlowStart = instance.attemptCountAt(WARMING) - attemptsAtWarming;
+        assertTrue(attemptsAfterSlowStart >= 50, "attempts at it in 300 requests after slow start: " + attemptsAfterSlowStart);
     }
 
-    /** If the instance's clock is behind as it starts, all starts in its first list are in the future. */
+    /** If the clock of a starting instance is behind, the start times in its first list are in the future. */
     @Test
-    void slowStartEndsInTimeForAStartInTheFutureOfTheFirstList() {
+    void slowStartEndsInTimeIfTheFirstListHasAStartTimeInTheFuture() {
         LoadBalancerFixture instance = new LoadBalancerFixture();
         instance.nowUs = 10_000_000_000L;
         instance.receiveEndpointList(EndpointListKind.CACHED, List.of(startedAt(instance.nowUs + 3_600_000_000L)));
@@ -99,17 +99,17 @@
             instance.sendRequest(LoadBalancerFixture.IDEMPOTENT);
             instance.advance(1_000);
         }
-        long atWarming = instance.attemptCountAt(WARMING);
-        assertTrue(atWarming <= 2, "attempts at the warming endpoint in 0.2 s: " + atWarming);
+        long attemptsAtWarming = instance.attemptCountAt(WARMING);
+        assertTrue(attemptsAtWarming <= 2, "attempts at the warming endpoint in 0.2 s: " + attemptsAtWarming);
     }
 
     @Test
     void slowStartDoesNotDependOnTheOriginOfTheClock() {
-        // Guards against a first interval between responses that is counted from the origin of the clock.
-        List<Long> attemptsByEpoch = new ArrayList<>();
-        for (long epoch : new long[] {1_000_000, 900_000_000_000L}) {
+        // Guards against counting the first interval between responses from the origin of the clock.
+        List<Long> attemptsByStart = new ArrayList<>();
+        for (long startUs : new long[] {1_000_000, 900_000_000_000L}) {
             LoadBalancerFixture instance = new LoadBalancerFixture();
-            instance.nowUs = epoch;
+            instance.nowUs = startUs;
             instance.withEndpoints(3);
             for (int i = 0; i < 100; i++) {
                 instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
@@ -118,26 +118,26 @@
             for (int i = 0; i < 300; i++) {
                 instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
             }
-            attemptsByEpoch.add(instance.attemptCountAt(WARMING));
+            attemptsByStart.add(instance.attemptCountAt(WARMING));
         }
-        assertEquals(attemptsByEpoch.get(0), attemptsByEpoch.get(1));
+        assertEquals(attemptsByStart.get(0), attemptsByStart.get(1));
         assertTrue(
-                attemptsByEpoch.get(0) > 1,
-                "attempts at the warming endpoint in three seconds: " + attemptsByEpoch.get(0));
+                attemptsByStart.get(0) > 1,
+                "attempts at the warming endpoint in three seconds: " + attemptsByStart.get(0));
     }
 
     @Test
-    void theLimitOfAWarmingEndpointDoesNotGrowPastTheOthers() {
-        // Guards against limits that grow with quick responses to single requests and overload the endpoint after slow
-        // start.
+    void theLimitOfAWarmingEndpointDoesNotExceedTheOthers() {
+        // A warming endpoint responds quickly to its few requests. Guards against a limit that grows with these
+        // responses and overloads the endpoint after slow start.
         LoadBalancerSettings settings = LoadBalancerFixture.settings();
         settings.instances = 8;
         LoadBalancerFixture instance = new LoadBalancerFixture(settings, 5);
         instance.receiveEndpointList(
                 EndpointListKind.CACHED, List.of(startedAt(instance.nowUs), LoadBalancerFixture.readyEndpoint("warm")));
-        long warmAtUs = instance.nowUs + settings.slowStartUs;
+        long slowStartEndsAtUs = instance.nowUs + settings.slowStartUs;
         int completed = 0;
-        while (instance.nowUs < warmAtUs) {
+        while (instance.nowUs < slowStartEndsAtUs) {
             for (int i = 0; i < 3; i++) {
                 instance.sendRequest(LoadBalancerFixture.IDEMPOTENT);
             }
@@ -161,17 +161,17 @@
                         instance.startedAttempts.get(completed++).requestId(), AttemptResult.OK, 0);
             }
         }
-        long atWarm = instance.attemptCountAt(WARMING) - before;
-        assertTrue(atWarm <= 3, "attempts in a second after slow start: " + atWarm);
+        long attemptsAfterSlowStart = instance.attemptCountAt(WARMING) - before;
+        assertTrue(attemptsAfterSlowStart <= 3, "attempts in a second after slow start: " + attemptsAfterSlowStart);
     }
 
     @Test
-    void aWarmingEndpointGetsLessWhereEndpointsCacheKeys() {
+    void aWarmingEndpointGetsFewerAttemptsIfEndpointsCacheKeys() {
         long withoutCaches = attemptsAtNewEndpoint(false);
         long withCaches = attemptsAtNewEndpoint(true);
         assertTrue(
                 withCaches > 0 && 2 * withCaches <= withoutCaches,
-                "attempts with cached keys: " + withCaches + ", else " + withoutCaches);
+                "attempts with key caches: " + withCaches + ", without: " + withoutCaches);
     }
 
     private static long attemptsAtNewEndpoint(boolean endpointsCacheKeys) {
@@ -183,14 +183,14 @@
         return instance.attemptCountAt(WARMING);
     }
 
-    /** Guards against a cost of uncached keys that does not fall as the endpoint warms up. */
+    /** Guards against a cost of uncached keys that does not decrease while the endpoint warms up. */
     @Test
-    void anAlmostWarmEndpointGetsAlmostTheSameWhereEndpointsCacheKeys() {
+    void anAlmostWarmEndpointGetsAlmostAsManyAttemptsIfEndpointsCacheKeys() {
         long withoutCaches = attemptsAtAlmostWarmEndpoint(false);
         long withCaches = attemptsAtAlmostWarmEndpoint(true);
         assertTrue(
                 3 * withCaches >= 2 * withoutCaches,
-                "attempts with cached keys: " + withCaches + ", else " + withoutCaches);
+                "attempts with key caches: " + withCaches + ", without: " + withoutCaches);
     }
 
     private static long attemptsAtAlmostWarmEndpoint(boolean endpointsCacheKeys) {
@@ -206,7 +206,7 @@
         return instance.attemptCountAt(WARMING);
     }
 
-    /** Serves requests one at a time, with 300 keys in turn. */
+    /** Sends requests one at a time, cycling through 300 keys, and completes each with this latency. */
     private static void sendWithKeys(LoadBalancerFixture instance, int requests, long latencyUs) {
         for (int i = 0; i < requests; i++) {
             long id = instance.sendRequestWithKey("k" + i % 300, LoadBalancerFixture.NON_IDEMPOTENT);
--- a/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
+++ b/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
@@ -11,30 +11,36 @@
 
 import loadbalancer.policy.log.EndpointEjected;
 
-/** Unresponsive attempts count as failures while in flight and are hedged; health by request class. */
+/**
+ * Tests for unresponsive attempts, which count as failures while in flight and are hedged, and for the health of
+ * endpoints by request class.
+ */
 class UnresponsiveAttemptTest {
-    private static final long USUAL_US = 10_000;
+    private static final long USUAL_LATENCY_US = 10_000;
 
     private static LoadBalancerFixture instanceWithStatistics(LoadBalancerSettings settings, int endpoints) {
         LoadBalancerFixture instance = new LoadBalancerFixture(settings, 11).withEndpoints(endpoints);
         for (int i = 0; i < 200; i++) {
-            instance.sendAndComplete(i % 5, AttemptResult.OK, USUAL_US);
+            instance.sendAndComplete(i % 5, AttemptResult.OK, USUAL_LATENCY_US);
         }
         return instance;
     }
 
-    /** Leaves a request of this class without a response at {@code s0}, and completes it elsewhere. */
+    /**
+     * Sends a request that gets no response at {@code s0} until its client disconnects and that succeeds elsewhere;
+     * returns whether it was sent to {@code s0}.
+     */
     private static boolean sendWithUnresponsiveEndpoint(LoadBalancerFixture instance, int classIndex) {
         long id = instance.sendRequest(classIndex);
         if (!instance.lastAttempt(id).endpointId().equals("s0")) {
-            instance.completeLastAttempt(id, AttemptResult.OK, USUAL_US);
+            instance.completeLastAttempt(id, AttemptResult.OK, USUAL_LATENCY_US);
             return false;
         }
-        instance.advance(30 * USUAL_US);
-        // The client disconnects long before its deadline, so that no timeout is observed.
+        instance.advance(30 * USUAL_LATENCY_US);
+        // The client disconnects long before the deadline, so that no timeout is observed.
         instance.loadBalancer.onClientDisconnected(instance.nowUs, id);
         instance.loadBalancer.onAttemptOutcome(
-                instance.nowUs, new AttemptOutcome(id, 0, AttemptResult.CANCELLED, 30 * USUAL_US, true, null));
+                instance.nowUs, new AttemptOutcome(id, 0, AttemptResult.CANCELLED, 30 * USUAL_LATENCY_US, true, null));
         return true;
     }
 
@@ -46,18 +52,18 @@
             lost += sendWithUnresponsiveEndpoint(instance, LoadBalancerFixture.NON_IDEMPOTENT) ? 1 : 0;
         }
         assertTrue(instance.hasEjected("s0"), instance.events.toString());
-        assertTrue(lost <= 8, "lost at the unresponsive endpoint: " + lost);
+        assertTrue(lost <= 8, "requests lost at the unresponsive endpoint: " + lost);
     }
 
     @Test
-    void clientsThatDisconnectEarlyDoNotCountAgainstAnEndpoint() {
+    void requestsOfClientsThatDisconnectEarlyDoNotCountAsFailures() {
         LoadBalancerFixture instance = instanceWithStatistics(LoadBalancerFixture.settings(), 4);
         for (int i = 0; i < 200; i++) {
             long id = instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
-            instance.advance(USUAL_US / 2);
+            instance.advance(USUAL_LATENCY_US / 2);
             instance.loadBalancer.onClientDisconnected(instance.nowUs, id);
             instance.loadBalancer.onAttemptOutcome(
-                    instance.nowUs, new AttemptOutcome(id, 0, AttemptResult.CANCELLED, USUAL_US / 2, true, null));
+                    instance.nowUs, new AttemptOutcome(id, 0, AttemptResult.CANCELLED, USUAL_LATENCY_US / 2, true, null));
         }
         assertTrue(instance.events.isEmpty(), instance.events.toString());
     }
@@ -67,7 +73,7 @@
         LoadBalancerFixture instance = instanceWithStatistics(LoadBalancerFixture.settings(), 4);
         long id = instance.sendRequest(LoadBalancerFixture.IDEMPOTENT);
         String unresponsive = instance.lastAttempt(id).endpointId();
-        instance.advance(10 * USUAL_US);
+        instance.advance(10 * USUAL_LATENCY_US);
         assertEquals(2, instance.attemptCount(id));
         assertNotEquals(unresponsive, instance.lastAttempt(id).endpointId());
     }
@@ -76,27 +82,27 @@
     void anUnresponsiveAttemptOfANonIdempotentRequestIsNotHedged() {
         LoadBalancerFixture instance = instanceWithStatistics(LoadBalancerFixture.settings(), 4);
         long id = instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
-        instance.advance(10 * USUAL_US);
+        instance.advance(10 * USUAL_LATENCY_US);
         assertEquals(1, instance.attemptCount(id));
     }
 
     @Test
-    void nothingIsHedgedWhereHedgingIsDisabled() {
+    void anUnresponsiveAttemptIsNotHedgedIfHedgingIsDisabled() {
         LoadBalancerSettings settings = LoadBalancerFixture.settings();
         settings.hedgingEnabled = false;
         LoadBalancerFixture instance = instanceWithStatistics(settings, 4);
         long id = instance.sendRequest(LoadBalancerFixture.IDEMPOTENT);
-        instance.advance(10 * USUAL_US);
+        instance.advance(10 * USUAL_LATENCY_US);
         assertEquals(1, instance.attemptCount(id));
     }
 
     @Test
-    void hedgedRequestsAreABudgetedShareOfFirstAttempts() {
+    void hedgedRequestsStayWithinABudgetedShareOfFirstAttempts() {
         LoadBalancerFixture instance = instanceWithStatistics(LoadBalancerFixture.settings(), 40);
         int before = instance.startedAttempts.size();
         for (int i = 0; i < 300; i++) {
             long id = instance.sendRequest(LoadBalancerFixture.IDEMPOTENT);
-            instance.advance(10 * USUAL_US);
+            instance.advance(10 * USUAL_LATENCY_US);
             int attempts = instance.attemptCount(id);
             for (int attempt = 0; attempt < attempts; attempt++) {
                 instance.loadBalancer.onAttemptOutcome(
@@ -104,7 +110,7 @@
             }
         }
         int hedges = instance.startedAttempts.size() - before - 300;
-        assertTrue(hedges >= 20 && hedges <= 85, "hedged requests of 300: " + hedges);
+        assertTrue(hedges >= 20 && hedges <= 85, "hedged requests beside 300 first attempts: " + hedges);
     }
 
     @Test
@@ -115,17 +121,17 @@
             ids.add(instance.sendRequest(LoadBalancerFixture.IDEMPOTENT));
         }
         int sent = instance.startedAttempts.size();
-        // The process is suspended for a second; the late timer is handled first, then the responses.
+        // After the process was suspended for a second, it handles the late timer first and then the responses.
         instance.nowUs += 1_000_000 - 1;
         instance.loadBalancer.onTimer(instance.nowUs);
         ids.forEach(id -> instance.loadBalancer.onAttemptOutcome(
-                instance.nowUs, new AttemptOutcome(id, 0, AttemptResult.OK, USUAL_US, true, null)));
+                instance.nowUs, new AttemptOutcome(id, 0, AttemptResult.OK, USUAL_LATENCY_US, true, null)));
         assertEquals(sent, instance.startedAttempts.size());
         assertTrue(instance.events.isEmpty(), instance.events.toString());
     }
 
     @Test
-    void anEndpointThatFailsOneClassIsEjectedForItAndServesTheOthers() {
+    void anEndpointThatFailsOneClassIsEjectedForThatClassAndServesTheOthers() {
         LoadBalancerFixture instance = instanceWithStatistics(LoadBalancerFixture.settings(), 4);
         int failed = 0;
         int served = 0;
@@ -136,12 +142,12 @@
                     && classIndex == LoadBalancerFixture.NON_IDEMPOTENT;
             failed += failing ? 1 : 0;
             served += instance.lastAttempt(id).endpointId().equals("s0") && !failing ? 1 : 0;
-            instance.completeLastAttempt(id, failing ? AttemptResult.ERROR : AttemptResult.OK, USUAL_US);
+            instance.completeLastAttempt(id, failing ? AttemptResult.ERROR : AttemptResult.OK, USUAL_LATENCY_US);
         }
         assertTrue(
                 instance.events.contains(new EndpointEjected("s0", 5, "non-idempotent")), instance.events.toString());
-        assertTrue(failed <= 8, "failed at the endpoint: " + failed);
-        assertTrue(served >= 40, "served by it in the other class: " + served);
+        assertTrue(failed <= 8, "requests failed at s0: " + failed);
+        assertTrue(served >= 40, "requests of the other class served by s0: " + served);
     }
 
     @Test
@@ -152,30 +158,30 @@
             instance.completeLastAttempt(
                     id,
                     instance.lastAttempt(id).endpointId().equals("s0") ? AttemptResult.ERROR : AttemptResult.OK,
-                    USUAL_US);
-            instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, USUAL_US);
+                    USUAL_LATENCY_US);
+            instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, USUAL_LATENCY_US);
         }
         assertTrue(instance.hasEjected("s0"), instance.events.toString());
         for (int i = 0; i < 400; i++) {
-            instance.sendAndComplete(LoadBalancerFixture.NON_IDEMPOTENT, AttemptResult.OK, USUAL_US);
+            instance.sendAndComplete(LoadBalancerFixture.NON_IDEMPOTENT, AttemptResult.OK, USUAL_LATENCY_US);
         }
         assertTrue(instance.hasRestored("s0"), instance.events.toString());
     }
 
-    /** Guards against limits that grow up to an overload because clients disconnect before slow responses. */
+    /** Guards against limits that grow until endpoints are overloaded, as clients disconnect before slow responses. */
     @Test
     void slowAttemptsOfDisconnectedClientsLowerLimits() {
-        int afterResponses = attemptsAtOnce(instanceAfterResponses());
-        int afterDisconnects = attemptsAtOnce(instanceAfterDisconnects());
+        int afterResponses = attemptsStartedAtOnce(instanceAfterResponses());
+        int afterDisconnects = attemptsStartedAtOnce(instanceAfterDisconnects());
         assertTrue(
                 afterDisconnects < afterResponses && afterDisconnects <= 2,
-                "in flight at once: " + afterDisconnects + " and " + afterResponses);
+                "in flight at once after disconnects: " + afterDisconnects + ", after responses: " + afterResponses);
     }
 
     private static LoadBalancerFixture instanceAfterResponses() {
         LoadBalancerFixture instance = instanceWithStatistics(LoadBalancerFixture.settings(), 1);
         for (int i = 0; i < 30; i++) {
-            instance.sendAndComplete(LoadBalancerFixture.NON_IDEMPOTENT, AttemptResult.OK, USUAL_US);
+            instance.sendAndComplete(LoadBalancerFixture.NON_IDEMPOTENT, AttemptResult.OK, USUAL_LATENCY_US);
         }
         return instance;
     }
@@ -184,14 +190,14 @@
         LoadBalancerFixture instance = instanceWithStatistics(LoadBalancerFixture.settings(), 1);
         for (int i = 0; i < 30; i++) {
             long id = instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
-            instance.advance(12 * USUAL_US);
+            instance.advance(12 * USUAL_LATENCY_US);
             instance.loadBalancer.onClientDisconnected(instance.nowUs, id);
             instance.completeLastAttempt(id, AttemptResult.CANCELLED, 0);
         }
         return instance;
     }
 
-    private static int attemptsAtOnce(LoadBalancerFixture instance) {
+    private static int attemptsStartedAtOnce(LoadBalancerFixture instance) {
         int before = instance.startedAttempts.size();
         for (int i = 0; i < 20; i++) {
             instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
@@ -199,8 +205,8 @@
         return instance.startedAttempts.size() - before;
     }
 
-    /** How many requests are in flight at once before one is queued; all are then completed. */
-    private static int countBeforeQueueing(LoadBalancerFixture instance) {
+    /** Sends requests until one is queued, completes all of them, and returns how many were in flight at once. */
+    private static int inFlightBeforeQueueing(LoadBalancerFixture instance) {
         List<Long> ids = new ArrayList<>();
         long id = instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
         while (instance.lastAttempt(id) != null) {
@@ -208,46 +214,46 @@
             id = instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
         }
         ids.forEach(started -> instance.completeLastAttempt(started, AttemptResult.OK, 0));
-        instance.completeLastAttempt(id, AttemptResult.OK, USUAL_US);
+        instance.completeLastAttempt(id, AttemptResult.OK, USUAL_LATENCY_US);
         return ids.size();
     }
 
     @Test
     void aLostAttemptAtAQuickEndpointUsesNoCapacity() {
         LoadBalancerFixture instance = instanceWithStatistics(LoadBalancerFixture.settings(), 1);
-        int limit = countBeforeQueueing(instance);
+        int limit = inFlightBeforeQueueing(instance);
         instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
         for (int i = 0; i < 20; i++) {
-            instance.sendAndComplete(LoadBalancerFixture.NON_IDEMPOTENT, AttemptResult.OK, USUAL_US);
+            instance.sendAndComplete(LoadBalancerFixture.NON_IDEMPOTENT, AttemptResult.OK, USUAL_LATENCY_US);
         }
-        assertTrue(countBeforeQueueing(instance) >= limit, "requests in flight before: " + limit);
+        assertTrue(inFlightBeforeQueueing(instance) >= limit, "requests in flight at once before: " + limit);
     }
 
     @Test
     void timeoutsAtAQuickEndpointDoNotLowerItsLimit() {
         LoadBalancerFixture instance = instanceWithStatistics(LoadBalancerFixture.settings(), 1);
-        int limit = countBeforeQueueing(instance);
+        int limit = inFlightBeforeQueueing(instance);
         for (int lost = 0; lost < 10; lost++) {
             long id = instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
             for (int i = 0; i < 3; i++) {
-                instance.sendAndComplete(LoadBalancerFixture.NON_IDEMPOTENT, AttemptResult.OK, USUAL_US);
+                instance.sendAndComplete(LoadBalancerFixture.NON_IDEMPOTENT, AttemptResult.OK, USUAL_LATENCY_US);
             }
             instance.loadBalancer.onAttemptOutcome(
-                    instance.nowUs, new AttemptOutcome(id, 0, AttemptResult.TIMEOUT, 3 * USUAL_US, false, null));
+                    instance.nowUs, new AttemptOutcome(id, 0, AttemptResult.TIMEOUT, 3 * USUAL_LATENCY_US, false, null));
         }
-        assertTrue(countBeforeQueueing(instance) >= limit, "requests in flight before: " + limit);
+        assertTrue(inFlightBeforeQueueing(instance) >= limit, "requests in flight at once before: " + limit);
     }
 
     @Test
     void timeoutsAtASlowEndpointLowerItsLimit() {
         LoadBalancerFixture instance = instanceWithStatistics(LoadBalancerFixture.settings(), 1);
-        int limit = countBeforeQueueing(instance);
+        int limit = inFlightBeforeQueueing(instance);
         for (int round = 0; round < 4; round++) {
-            long late = instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
+            long timedOut = instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
             long id = instance.sendRequest(LoadBalancerFixture.NON_IDEMPOTENT);
-            instance.completeLastAttempt(id, AttemptResult.OK, 15 * USUAL_US);
-            instance.completeLastAttempt(late, AttemptResult.TIMEOUT, 0);
+            instance.completeLastAttempt(id, AttemptResult.OK, 15 * USUAL_LATENCY_US);
+            instance.completeLastAttempt(timedOut, AttemptResult.TIMEOUT, 0);
         }
-        assertTrue(countBeforeQueueing(instance) < limit, "requests in flight before: " + limit);
+        assertTrue(inFlightBeforeQueueing(instance) < limit, "requests in flight at once before: " + limit);
     }
 }
--- a/src/test/java/loadbalancer/policy/log/DecisionLogTest.java
+++ b/src/test/java/loadbalancer/policy/log/DecisionLogTest.java
@@ -8,7 +8,7 @@
 
 import loadbalancer.policy.RecordingActions;
 
-/** The rate limit of {@link DecisionLog}. */
+/** Tests for the rate limit of {@link DecisionLog}. */
 class DecisionLogTest {
     @Test
     void eventsWithinASecondOfARecordedOneAreDropped() {
--- a/src/test/java/loadbalancer/policy/model/EndpointConcurrencyTest.java
+++ b/src/test/java/loadbalancer/policy/model/EndpointConcurrencyTest.java
@@ -4,12 +4,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The limit, pauses and slowness in {@link EndpointConcurrency}. */
+/** Tests for the limit, pauses and slowness in {@link EndpointConcurrency}. */
 class EndpointConcurrencyTest {
     private final EndpointConcurrency concurrency = new EndpointConcurrency();
 
     @Test
-    void aResetForgetsTheLimitButNotTheRequestsInFlight() {
+    void aResetDiscardsTheLimitAndKeepsTheRequestsInFlight() {
         concurrency.increment();
         concurrency.increment();
         concurrency.decrement();
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void pausesThatOverlapFollowEachOther() {
+    void anOverlappingPauseStartsAtTheEndOfTheEarlierOne() {
         concurrency.pause(1_000, 500);
         assertEquals(1_500, concurrency.pausedUntilUs());
         concurrency.pause(1_200, 400);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aPauseAfterTheLastOneStartsWithItsAttempt() {
+    void aPauseThatDoesNotOverlapStartsWithItsAttempt() {
         concurrency.pause(1_000, 500);
         concurrency.pause(3_000, 100);
         assertEquals(3_100, concurrency.pausedUntilUs());
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void theNewestAnsweredAttemptStaysWhenAnOlderOneIsAnsweredLater() {
+    void theLatestStartIsKeptWhenAnOlderAttemptGetsItsResponseLater() {
         concurrency.recordAnsweredAttempt(2_000);
         concurrency.recordAnsweredAttempt(1_000);
         assertEquals(2_000, concurrency.newestAnsweredAttemptAtUs());
--- a/src/test/java/loadbalancer/policy/model/EndpointHealthTest.java
+++ b/src/test/java/loadbalancer/policy/model/EndpointHealthTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The recent results that {@link EndpointHealth} remembers, and the state of an ejection. */
+/** Tests for the recent results and the ejection state in {@link EndpointHealth}. */
 class EndpointHealthTest {
     private final EndpointHealth health = new EndpointHealth();
 
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aResetEndsAnEjectionAndForgetsFailures() {
+    void aResetEndsAnEjectionAndDiscardsFailures() {
         health.recordFailure();
         health.eject(100, 200);
         health.recordSuccess(1);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aResponseIsNoSuccess() {
+    void aResponseDoesNotCountAsASuccess() {
         health.recordResponse(7);
         assertEquals(7, health.lastResponseAtUs());
         assertEquals(0, health.lastSuccessAtUs());
--- a/src/test/java/loadbalancer/policy/model/EndpointSharingTest.java
+++ b/src/test/java/loadbalancer/policy/model/EndpointSharingTest.java
@@ -5,10 +5,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When {@link EndpointSharing} counts an instance as sparse. */
+/** Tests for the threshold of {@link EndpointSharing} above which endpoints count as widely shared. */
 class EndpointSharingTest {
     @Test
-    void anInstanceIsSparseAboveTwentyThatShareAnEndpoint() {
+    void endpointsAreWidelySharedAboveTwentyInstancesPerEndpoint() {
         EndpointSharing sharing = new EndpointSharing(20);
         assertFalse(sharing.isSparse());
         sharing.setInstances(20.5);
--- a/src/test/java/loadbalancer/policy/model/EndpointTest.java
+++ b/src/test/java/loadbalancer/policy/model/EndpointTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The hash, availability and incarnations of an {@link Endpoint}. */
+/** Tests for the hash, availability and incarnations of an {@link Endpoint}. */
 class EndpointTest {
     private final Endpoint endpoint = new Endpoint("10.0.0.1:80", 2);
 
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void anEjectionForOneClassLeavesTheOthers() {
+    void anEjectionForOneClassDoesNotAffectTheOthers() {
         endpoint.activate(0);
         endpoint.healthOf(1).eject(1, 1);
         assertFalse(endpoint.isEjectedFor(0));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void anEjectionForAllClassesIncludesEach() {
+    void anEjectionForAllClassesAppliesToEachClass() {
         endpoint.health().eject(1, 1);
         assertTrue(endpoint.isEjectedFor(0));
         assertTrue(endpoint.isEjectedFor(1));
--- a/src/test/java/loadbalancer/policy/model/KeyHashTest.java
+++ b/src/test/java/loadbalancer/policy/model/KeyHashTest.java
@@ -7,15 +7,15 @@
 
 import org.junit.jupiter.api.Test;
 
-/** {@link KeyHash} against reference outputs of SplitMix64. */
+/** Tests for {@link KeyHash} against reference outputs of SplitMix64. */
 class KeyHashTest {
     /** Reference outputs of SplitMix64 for the seed 0. */
-    private static final long[] SPLIT_MIX_64 = {0xE220A8397B1DCDAFL, 0x6E789E6AA1B965F4L, 0x06C45D188009454FL};
+    private static final long[] SPLIT_MIX_64_OUTPUTS = {0xE220A8397B1DCDAFL, 0x6E789E6AA1B965F4L, 0x06C45D188009454FL};
 
     @Test
     void picksAreTheOutputsOfSplitMix64() {
-        for (int i = 0; i < SPLIT_MIX_64.length; i++) {
-            assertEquals(SPLIT_MIX_64[i], KeyHash.ofPick(0, i + 1));
+        for (int i = 0; i < SPLIT_MIX_64_OUTPUTS.length; i++) {
+            assertEquals(SPLIT_MIX_64_OUTPUTS[i], KeyHash.ofPick(0, i + 1));
         }
     }
 
--- a/src/test/java/loadbalancer/policy/model/PendingRequestTest.java
+++ b/src/test/java/loadbalancer/policy/model/PendingRequestTest.java
@@ -17,7 +17,7 @@
 import loadbalancer.policy.Request;
 import loadbalancer.policy.RequestClass;
 
-/** Times, phases, attempts and priority of a {@link PendingRequest}. */
+/** Tests for the times, phases, attempts and priority of a {@link PendingRequest}. */
 class PendingRequestTest {
     private static final long NOW_US = 5_000;
 
@@ -25,11 +25,11 @@
     private final Endpoint endpoint = PolicyTestObjects.endpoint(settings, "a");
     private final PendingRequest request = PolicyTestObjects.request(settings, PolicyTestObjects.IDEMPOTENT, NOW_US);
 
-    private PendingRequest withRemaining(int classIndex, long remainingUs, long workUs) {
+    private PendingRequest requestWithRemaining(int classIndex, long remainingUs, long workUs) {
         return new PendingRequest(new Request(1, classIndex, 0, remainingUs, workUs, false, null), settings, NOW_US);
     }
 
-    /** Adds a class with an objective of 200 ms that grows by twice the work; its index. */
+    /** Adds a class whose latency objective is 200 ms plus twice the request's work, and returns its index. */
     private int addStretchedClass() {
         settings.classes.add(new RequestClass(
                 "stretched", 200_000, 2, 1_000_000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false));
@@ -46,29 +46,29 @@
     @Test
     void theLatencyObjectiveIsNotAfterTheDeadline() {
         assertEquals(
-                105_000, withRemaining(PolicyTestObjects.IDEMPOTENT, 100_000, 0).latencyObjectiveAtUs());
+                105_000, requestWithRemaining(PolicyTestObjects.IDEMPOTENT, 100_000, 0).latencyObjectiveAtUs());
     }
 
     @Test
-    void aRequestWithoutTimeLeftIsDueAtItsArrival() {
-        assertEquals(NOW_US, withRemaining(PolicyTestObjects.IDEMPOTENT, -1, 0).deadlineAtUs());
+    void theDeadlineOfARequestWithoutTimeLeftIsItsArrival() {
+        assertEquals(NOW_US, requestWithRemaining(PolicyTestObjects.IDEMPOTENT, -1, 0).deadlineAtUs());
     }
 
     @Test
     void theLatencyObjectiveGrowsWithTheWork() {
         assertEquals(
-                400_000, withRemaining(addStretchedClass(), 3_000_000, 100_000).latencyObjectiveUs());
+                400_000, requestWithRemaining(addStretchedClass(), 3_000_000, 100_000).latencyObjectiveUs());
     }
 
     @Test
     void theLatencyObjectiveGrowsNoFurtherThanTheDeadlineOfTheClass() {
         assertEquals(
                 1_000_000,
-                withRemaining(addStretchedClass(), 3_000_000, 900_000).latencyObjectiveUs());
+                requestWithRemaining(addStretchedClass(), 3_000_000, 900_000).latencyObjectiveUs());
     }
 
     @Test
-    void aFinishedRequestIsNotQueued() {
+    void aFinishedRequestCannotBeQueuedOrDequeued() {
         request.enqueue();
         assertTrue(request.isQueued());
         request.dequeue();
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aRequestIsDoneOnceFinishedWithoutAttemptsInFlight() {
+    void aFinishedRequestCanBeForgottenOnceItHasNoAttemptsInFlight() {
         Attempt attempt = request.startAttempt(endpoint, NOW_US);
         request.finish();
         assertFalse(request.isDone());
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void aLateRequestHasThePartOfItsPriorityThatItsClassGivesLateResponses() {
+    void thePriorityOfALateRequestIsMultipliedByTheLatePriorityFactor() {
         PolicyTestObjects.setLatePriorityFactor(settings, PolicyTestObjects.IDEMPOTENT, 0.25);
         PendingRequest late = PolicyTestObjects.request(settings, PolicyTestObjects.IDEMPOTENT, NOW_US);
         late.setPriority(8);
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void keysMatterOnlyWhereEndpointsCacheThem() {
+    void aKeyGivesAffinityOnlyIfEndpointsCacheKeys() {
         assertFalse(PolicyTestObjects.request(settings, 0, "key", NOW_US).hasKeyAffinity());
         settings.endpointsCacheKeys = true;
         PendingRequest withKey = PolicyTestObjects.request(settings, 0, "key", NOW_US);
--- a/src/test/java/loadbalancer/policy/retry/RetryBudgetTest.java
+++ b/src/test/java/loadbalancer/policy/retry/RetryBudgetTest.java
@@ -5,13 +5,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many hedged requests {@link RetryBudget} allows. */
+/** Tests for the number of hedged requests that {@link RetryBudget} allows. */
 class RetryBudgetTest {
     private final RetryBudget budget = new RetryBudget();
 
-    private void spend(int hedgedRequests) {
+    private void assertAllows(int hedgedRequests) {
         for (int i = 0; i < hedgedRequests; i++) {
-            assertTrue(budget.isAvailable(), "before hedged request " + i);
+            assertTrue(budget.isAvailable(), "no budget for hedged request " + i);
             budget.spend();
         }
         assertFalse(budget.isAvailable());
@@ -19,12 +19,12 @@
 
     @Test
     void twentyHedgedRequestsMayBeSentAtOnce() {
-        spend(20);
+        assertAllows(20);
     }
 
     @Test
     void fiveFirstAttemptsAllowOneHedgedRequest() {
-        spend(20);
+        assertAllows(20);
         for (int i = 0; i < 4; i++) {
             budget.onFirstAttempt();
             assertFalse(budget.isAvailable());
@@ -34,10 +34,10 @@
     }
 
     @Test
-    void noMoreThanTwentyAreSavedUp() {
+    void unusedBudgetIsLimitedToTwentyHedgedRequests() {
         for (int i = 0; i < 1_000; i++) {
             budget.onFirstAttempt();
         }
-        spend(20);
+        assertAllows(20);
     }
 }
--- a/src/test/java/loadbalancer/policy/retry/RetryRulesTest.java
+++ b/src/test/java/loadbalancer/policy/retry/RetryRulesTest.java
@@ -16,17 +16,17 @@
 import loadbalancer.policy.model.Endpoint;
 import loadbalancer.policy.model.PendingRequest;
 
-/** Which retries and rejections {@link RetryRules} permits, by idempotency class. */
+/** Tests for the retries and rejections that {@link RetryRules} permits, by idempotency of the request class. */
 class RetryRulesTest {
     private static final long NOW_US = 1_000;
-    private static final int ZONE = PolicyTestObjects.KEY_DEDUPLICATED_IN_ZONE;
-    private static final int CELL = PolicyTestObjects.KEY_DEDUPLICATED_IN_CELL;
+    private static final int ZONE_CLASS = PolicyTestObjects.KEY_DEDUPLICATED_IN_ZONE;
+    private static final int CELL_CLASS = PolicyTestObjects.KEY_DEDUPLICATED_IN_CELL;
 
     private final LoadBalancerSettings settings = PolicyTestObjects.settings();
     private final RetryRules rules = new RetryRules(settings);
     private final Endpoint endpoint = PolicyTestObjects.endpoint(settings, "a", 0, 1);
 
-    private PendingRequest afterAttempt(int classIndex, AttemptResult result) {
+    private PendingRequest requestAfterAttempt(int classIndex, AttemptResult result) {
         PendingRequest request = PolicyTestObjects.request(settings, classIndex, NOW_US);
         request.endAttempt(request.startAttempt(endpoint, NOW_US), result);
         return request;
@@ -35,56 +35,56 @@
     @ParameterizedTest
     @EnumSource(AttemptResult.class)
     void aNonIdempotentRequestMayBeRetriedOnlyIfKnownNotExecuted(AttemptResult result) {
-        PendingRequest request = afterAttempt(PolicyTestObjects.NON_IDEMPOTENT, result);
+        PendingRequest request = requestAfterAttempt(PolicyTestObjects.NON_IDEMPOTENT, result);
         assertEquals(result.knownNotExecuted, rules.mayRetry(request, NOW_US));
     }
 
     @ParameterizedTest
     @EnumSource(AttemptResult.class)
     void anIdempotentRequestMayBeRetriedAfterAnyResult(AttemptResult result) {
-        assertTrue(rules.mayRetry(afterAttempt(PolicyTestObjects.IDEMPOTENT, result), NOW_US));
+        assertTrue(rules.mayRetry(requestAfterAttempt(PolicyTestObjects.IDEMPOTENT, result), NOW_US));
     }
 
     @Test
     void aRequestWithIdempotencyKeyMayBeRetriedWithinItsDeduplicationWindow() {
-        PendingRequest request = afterAttempt(PolicyTestObjects.KEY_DEDUPLICATED_EVERYWHERE, AttemptResult.RESET);
+        PendingRequest request = requestAfterAttempt(PolicyTestObjects.KEY_DEDUPLICATED_EVERYWHERE, AttemptResult.RESET);
         assertTrue(rules.mayRetry(request, NOW_US + 400_000));
         assertFalse(rules.mayRetry(request, NOW_US + 400_001));
     }
 
     @Test
-    void thereIsNoRetryFromTheDeadlineOn() {
-        PendingRequest request = afterAttempt(PolicyTestObjects.IDEMPOTENT, AttemptResult.ERROR);
+    void aRequestIsNotRetriedAtItsDeadlineOrLater() {
+        PendingRequest request = requestAfterAttempt(PolicyTestObjects.IDEMPOTENT, AttemptResult.ERROR);
         assertTrue(rules.mayRetry(request, request.deadlineAtUs() - 1));
         assertFalse(rules.mayRetry(request, request.deadlineAtUs()));
     }
 
     @Test
-    void thereAreNoMoreAttemptsThanTheSettingsAllow() {
+    void aRequestIsNotRetriedOnceItHasTheMaximumNumberOfAttempts() {
         settings.maxAttempts = 2;
-        PendingRequest request = afterAttempt(PolicyTestObjects.IDEMPOTENT, AttemptResult.ERROR);
+        PendingRequest request = requestAfterAttempt(PolicyTestObjects.IDEMPOTENT, AttemptResult.ERROR);
         assertTrue(rules.mayRetry(request, NOW_US));
         request.startAttempt(endpoint, NOW_US);
         assertFalse(rules.mayRetry(request, NOW_US));
     }
 
     @Test
-    void thereIsNoRetryOnceAResponseIsStreamed() {
-        PendingRequest request = afterAttempt(PolicyTestObjects.IDEMPOTENT, AttemptResult.ERROR);
+    void aRequestIsNotRetriedOnceItsResponseIsStreamed() {
+        PendingRequest request = requestAfterAttempt(PolicyTestObjects.IDEMPOTENT, AttemptResult.ERROR);
         request.setStreaming();
         assertFalse(rules.mayRetry(request, NOW_US));
     }
 
     @Test
     void endpointsOutsideTheDeduplicationZoneAreNotPermitted() {
-        PendingRequest request = afterAttempt(ZONE, AttemptResult.TIMEOUT);
+        PendingRequest request = requestAfterAttempt(ZONE_CLASS, AttemptResult.TIMEOUT);
         assertTrue(rules.permits(request, PolicyTestObjects.endpoint(settings, "b", 0, 2)));
         assertFalse(rules.permits(request, PolicyTestObjects.endpoint(settings, "b", 1, 1)));
     }
 
     @Test
     void endpointsOutsideTheDeduplicationCellAreNotPermitted() {
-        PendingRequest request = afterAttempt(CELL, AttemptResult.TIMEOUT);
+        PendingRequest request = requestAfterAttempt(CELL_CLASS, AttemptResult.TIMEOUT);
         assertTrue(rules.permits(request, PolicyTestObjects.endpoint(settings, "b", 1, 1)));
         assertFalse(rules.permits(request, PolicyTestObjects.endpoint(settings, "b", 0, 2)));
     }
@@ -96,26 +96,26 @@
                 PolicyTestObjects.KEY_DEDUPLICATED_EVERYWHERE,
                 PolicyTestObjects.NON_IDEMPOTENT
             })
-    void otherClassesArePermittedAtAllEndpoints(int classIndex) {
-        PendingRequest request = afterAttempt(classIndex, AttemptResult.TIMEOUT);
+    void requestsOfClassesWithoutZoneOrCellScopeArePermittedAtAllEndpoints(int classIndex) {
+        PendingRequest request = requestAfterAttempt(classIndex, AttemptResult.TIMEOUT);
         assertTrue(rules.permits(request, PolicyTestObjects.endpoint(settings, "b", 1, 2)));
     }
 
     @Test
     void aRequestKnownNotExecutedIsPermittedAtAllEndpoints() {
-        PendingRequest request = afterAttempt(CELL, AttemptResult.REJECTED);
+        PendingRequest request = requestAfterAttempt(CELL_CLASS, AttemptResult.REJECTED);
         assertTrue(rules.permits(request, PolicyTestObjects.endpoint(settings, "b", 1, 2)));
     }
 
     @ParameterizedTest
     @CsvSource({"0, true", "1, true", "2, false", "3, false", "4, false"})
-    void aRequestThatMayHaveBeenExecutedMayBeRejectedOnlyIfAllEndpointsMayRepeatIt(int classIndex, boolean expected) {
-        assertEquals(expected, rules.mayReject(afterAttempt(classIndex, AttemptResult.RESET)));
+    void aRequestThatMayHaveBeenExecutedMayBeRejectedOnlyIfItIsSafeToRetryAtAllEndpoints(int classIndex, boolean expected) {
+        assertEquals(expected, rules.mayReject(requestAfterAttempt(classIndex, AttemptResult.RESET)));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4})
     void aRequestKnownNotExecutedMayBeRejected(int classIndex) {
-        assertTrue(rules.mayReject(afterAttempt(classIndex, AttemptResult.NOT_SENT)));
+        assertTrue(rules.mayReject(requestAfterAttempt(classIndex, AttemptResult.NOT_SENT)));
     }
 }
--- a/src/test/java/loadbalancer/policy/statistics/LatencyStatisticsTest.java
+++ b/src/test/java/loadbalancer/policy/statistics/LatencyStatisticsTest.java
@@ -6,9 +6,9 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The running means in {@link LatencyStatistics}. */
+/** Tests for the running means in {@link LatencyStatistics}. */
 class LatencyStatisticsTest {
-    private static final double ROUNDING_US = 1e-6;
+    private static final double TOLERANCE_US = 1e-6;
 
     private final LatencyStatistics statistics = new LatencyStatistics(2);
 
@@ -23,18 +23,18 @@
         statistics.record(0, 100);
         statistics.record(0, 200);
         statistics.record(0, 600);
-        assertEquals(300, statistics.meanUs(0), ROUNDING_US);
+        assertEquals(300, statistics.meanUs(0), TOLERANCE_US);
     }
 
     @Test
     void laterResultsHaveAWeightOfOneInThirtyTwo() {
         record(100, 1_000);
         statistics.record(0, 33_000);
-        assertEquals(2_000, statistics.meanUs(0), ROUNDING_US);
+        assertEquals(2_000, statistics.meanUs(0), TOLERANCE_US);
     }
 
     @Test
-    void classesAreSeparate() {
+    void eachClassHasItsOwnMean() {
         statistics.record(1, 500);
         assertTrue(statistics.hasResults(1));
         assertFalse(statistics.hasResults(0));
@@ -49,22 +49,22 @@
         assertEquals(Double.MAX_VALUE, statistics.leastMeanUs(0));
         record(1, 1_000);
         assertTrue(statistics.isMeanReliable(0));
-        assertEquals(1_000, statistics.leastMeanUs(0), ROUNDING_US);
+        assertEquals(1_000, statistics.leastMeanUs(0), TOLERANCE_US);
     }
 
     @Test
-    void theLeastMeanFollowsARiseOfTheMeanOnlyByItsDrift() {
+    void theMinMeanRisesOnlyByItsGrowthFactorWhenTheMeanRises() {
         record(16, 1_000);
         record(1, 18_000);
-        assertEquals(2_000, statistics.meanUs(0), ROUNDING_US);
-        assertEquals(1_000.1, statistics.leastMeanUs(0), ROUNDING_US);
+        assertEquals(2_000, statistics.meanUs(0), TOLERANCE_US);
+        assertEquals(1_000.1, statistics.leastMeanUs(0), TOLERANCE_US);
     }
 
     @Test
-    void theLeastMeanFollowsAFallOfTheMeanAtOnce() {
+    void theMinMeanFallsAtOnceWhenTheMeanFalls() {
         record(16, 1_000);
         record(1, 150);
-        assertEquals(950, statistics.leastMeanUs(0), ROUNDING_US);
+        assertEquals(950, statistics.leastMeanUs(0), TOLERANCE_US);
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/statistics/ServiceRateTest.java
+++ b/src/test/java/loadbalancer/policy/statistics/ServiceRateTest.java
@@ -4,18 +4,18 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The running mean of intervals in {@link ServiceRate}. */
+/** Tests for the running mean of intervals in {@link ServiceRate}. */
 class ServiceRateTest {
     private final ServiceRate rate = new ServiceRate();
 
     @Test
-    void anIntervalIsAssumedBeforeTheFirstResponse() {
+    void theIntervalIsFiftyMillisecondsBeforeTheFirstResponse() {
         rate.onAttemptStarted(900_000_000);
         assertEquals(50_000, rate.intervalUs(900_000_000));
     }
 
     @Test
-    void theFirstIntervalCountsFromTheFirstAttempt() {
+    void theFirstIntervalStartsAtTheFirstAttempt() {
         rate.onAttemptStarted(1_000_000);
         rate.onAttemptStarted(1_050_000);
         rate.onSuccess(1_082_000);
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void laterIntervalsCountFromTheLastResponse() {
+    void laterIntervalsStartAtTheLastResponse() {
         rate.onAttemptStarted(1_000_000);
         rate.onSuccess(1_082_000);
         rate.onAttemptStarted(1_083_000);
--- a/src/test/java/loadbalancer/policy/statistics/TimelyResponseRateTest.java
+++ b/src/test/java/loadbalancer/policy/statistics/TimelyResponseRateTest.java
@@ -4,23 +4,23 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The running share in {@link TimelyResponseRate}. */
+/** Tests for the running share in {@link TimelyResponseRate}. */
 class TimelyResponseRateTest {
     private final TimelyResponseRate rate = new TimelyResponseRate();
 
     @Test
-    void threeOfFourAreAssumedTimelyAtFirst() {
+    void theShareIsThreeQuartersBeforeTheFirstResult() {
         assertEquals(0.75, rate.share());
     }
 
     @Test
-    void aTimelyResponseClosesAnEighthOfTheGapToOne() {
+    void aTimelyResponseReducesTheDifferenceToOneByAnEighth() {
         rate.record(true);
         assertEquals(0.78125, rate.share());
     }
 
     @Test
-    void aLateResponseTakesAnEighthOff() {
+    void aLateResponseLowersTheShareByAnEighth() {
         rate.record(false);
         assertEquals(0.65625, rate.share());
     }
