--- a/src/main/java/loadbalancer/policy/model/Endpoint.java
+++ b/src/main/java/loadbalancer/policy/model/Endpoint.java
@@ -26,12 +26,12 @@
     /**
      * Creates an endpoint that is not in the endpoint list yet.
      *
-     * @param classes the number of request classes
+     * @param classCount the number of request classes
      */
-    public Endpoint(String id, int classes) {
+    public Endpoint(String id, int classCount) {
         this.id = id;
         hash = new SplittableRandom(id.hashCode()).nextLong();
-        healthByClass = Stream.generate(EndpointHealth::new).limit(classes).toArray(EndpointHealth[]::new);
+        healthByClass = Stream.generate(EndpointHealth::new).limit(classCount).toArray(EndpointHealth[]::new);
     }
 
     /** Returns the id that attempts refer to; it stays the same when the endpoint restarts. */
@@ -108,11 +108,11 @@
      * Records that a new process runs at this endpoint.
      *
      * @param startedAtUs the start of the process, by the clock of another machine
-     * @param warmingUpFromUs the start of its slow start, by this instance's clock
+     * @param newWarmingUpSinceUs the start of its slow start, by this instance's clock
      */
-    public void startIncarnation(long startedAtUs, long warmingUpFromUs) {
+    public void startIncarnation(long startedAtUs, long newWarmingUpSinceUs) {
         incarnationStartedAtUs = startedAtUs;
-        warmingUpSinceUs = warmingUpFromUs;
+        warmingUpSinceUs = newWarmingUpSinceUs;
         lastAttemptAtUs = 0;
     }
 
@@ -168,8 +168,8 @@
         if (health.isEjected()) {
             return true;
         }
-        for (EndpointHealth ofClass : healthByClass) {
-            if (ofClass.isEjected()) {
+        for (EndpointHealth classHealth : healthByClass) {
+            if (classHealth.isEjected()) {
                 return true;
             }
         }
--- a/src/main/java/loadbalancer/policy/model/EndpointConcurrency.java
+++ b/src/main/java/loadbalancer/policy/model/EndpointConcurrency.java
@@ -86,12 +86,12 @@
     /**
      * Pauses the endpoint after an attempt. A pause that overlaps an earlier one starts at the end of the earlier one.
      *
-     * @param attemptAtUs the start time of the attempt, at which the pause starts otherwise
-     * @param lengthUs the duration of the pause
+     * @param attemptStartedAtUs the start time of the attempt, at which the pause starts otherwise
+     * @param durationUs the duration of the pause
      */
-    public void pause(long attemptAtUs, long lengthUs) {
-        pauseUs = lengthUs;
-        pausedUntilUs = Math.max(pausedUntilUs, attemptAtUs) + lengthUs;
+    public void pause(long attemptStartedAtUs, long durationUs) {
+        pauseUs = durationUs;
+        pausedUntilUs = Math.max(pausedUntilUs, attemptStartedAtUs) + durationUs;
     }
 
     /** Returns the latest start time of all attempts that got a response, or 0 if there are none. */
@@ -100,8 +100,8 @@
     }
 
     /** Records that an attempt that started at this time got a response. */
-    public void recordAnsweredAttempt(long attemptAtUs) {
-        newestAnsweredAttemptAtUs = Math.max(newestAnsweredAttemptAtUs, attemptAtUs);
+    public void recordAnsweredAttempt(long attemptStartedAtUs) {
+        newestAnsweredAttemptAtUs = Math.max(newestAnsweredAttemptAtUs, attemptStartedAtUs);
     }
 
     /** Returns the running mean of latency divided by the threshold for slow responses; from 1 on it means overload. */
--- a/src/main/java/loadbalancer/policy/model/EndpointSharing.java
+++ b/src/main/java/loadbalancer/policy/model/EndpointSharing.java
@@ -7,7 +7,7 @@
  */
 public final class EndpointSharing {
     /** Number of instances per endpoint above which an endpoint counts as widely shared. */
-    private static final double SPARSE_ABOVE_INSTANCES = 20;
+    private static final double WIDELY_SHARED_ABOVE_INSTANCES = 20;
 
     private double instances;
 
@@ -27,6 +27,6 @@
 
     /** Returns whether so many instances share an endpoint that each of them sees little of its load. */
     public boolean isSparse() {
-        return instances > SPARSE_ABOVE_INSTANCES;
+        return instances > WIDELY_SHARED_ABOVE_INSTANCES;
     }
 }
--- a/src/main/java/loadbalancer/policy/retry/RetryBudget.java
+++ b/src/main/java/loadbalancer/policy/retry/RetryBudget.java
@@ -2,7 +2,7 @@
 
 /** Limits hedged requests to a share of first attempts, with a maximum burst. */
 public final class RetryBudget {
-    private static final double SHARE_OF_FIRST_ATTEMPTS = 0.2;
+    private static final double TOKENS_PER_FIRST_ATTEMPT = 0.2;
     private static final double MAX_TOKENS = 20;
 
     private double tokens = MAX_TOKENS;
@@ -19,6 +19,6 @@
 
     /** Adds a first attempt's share to the budget. */
     public void onFirstAttempt() {
-        tokens = Math.min(MAX_TOKENS, tokens + SHARE_OF_FIRST_ATTEMPTS);
+        tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_FIRST_ATTEMPT);
     }
 }
--- a/src/main/java/loadbalancer/policy/retry/RetryRules.java
+++ b/src/main/java/loadbalancer/policy/retry/RetryRules.java
@@ -24,12 +24,12 @@
                 || request.isStreaming()) {
             return false;
         }
-        Attempt executed = request.firstPossiblyExecuted();
+        Attempt possiblyExecuted = request.firstPossiblyExecuted();
         RequestClass requestClass = request.requestClass();
-        return executed == null
+        return possiblyExecuted == null
                 || switch (requestClass.idempotency()) {
                     case IDEMPOTENT -> true;
-                    case IDEMPOTENCY_KEY -> nowUs <= executed.startedAtUs() + requestClass.deduplicationWindowUs();
+                    case IDEMPOTENCY_KEY -> nowUs <= possiblyExecuted.startedAtUs() + requestClass.deduplicationWindowUs();
                     case NON_IDEMPOTENT -> false;
                 };
     }
@@ -43,12 +43,12 @@
         if (request.requestClass().idempotency() != Idempotency.IDEMPOTENCY_KEY) {
             return true;
         }
-        Attempt executed = request.firstPossiblyExecuted();
-        return executed == null
+        Attempt possiblyExecuted = request.firstPossiblyExecuted();
+        return possiblyExecuted == null
                 || switch (request.requestClass().deduplicationScope()) {
                     case ALL -> true;
-                    case ZONE -> endpoint.zone() == executed.endpoint().zone();
-                    case CELL -> endpoint.cell() == executed.endpoint().cell();
+                    case ZONE -> endpoint.zone() == possiblyExecuted.endpoint().zone();
+                    case CELL -> endpoint.cell() == possiblyExecuted.endpoint().cell();
                 };
     }
 
--- a/src/main/java/loadbalancer/policy/statistics/LatencyStatistics.java
+++ b/src/main/java/loadbalancer/policy/statistics/LatencyStatistics.java
@@ -9,33 +9,33 @@
     private static final double RELIABLE_WINDOW_SHARE = 0.5;
 
     /** Growth of the minimum mean with each result, so that it adapts to a lasting change of the requests' work. */
-    private static final double LEAST_MEAN_DRIFT = 1.0001;
+    private static final double MIN_MEAN_GROWTH_FACTOR = 1.0001;
 
     /** Share of the mean above which a latency is slower than most: latencies are skewed, so their median is lower. */
     private static final double SLOW_MEAN_SHARE = 0.8;
 
     private final double[] meanUs;
     private final double[] leastMeanUs;
-    private final int[] counts;
+    private final int[] resultCounts;
 
     /**
      * Creates statistics without results.
      *
-     * @param classes the number of request classes
+     * @param classCount the number of request classes
      */
-    public LatencyStatistics(int classes) {
-        meanUs = new double[classes];
-        leastMeanUs = new double[classes];
-        counts = new int[classes];
+    public LatencyStatistics(int classCount) {
+        meanUs = new double[classCount];
+        leastMeanUs = new double[classCount];
+        resultCounts = new int[classCount];
     }
 
     /** Records the latency of a successful attempt of a request class. */
     public void record(int classIndex, long latencyUs) {
-        counts[classIndex]++;
-        double gain = Math.max(MEAN_GAIN, 1.0 / counts[classIndex]);
+        resultCounts[classIndex]++;
+        double gain = Math.max(MEAN_GAIN, 1.0 / resultCounts[classIndex]);
         meanUs[classIndex] += gain * (latencyUs - meanUs[classIndex]);
         leastMeanUs[classIndex] = isMeanReliable(classIndex)
-                ? Math.min(leastMeanUs[classIndex] * LEAST_MEAN_DRIFT, meanUs[classIndex])
+                ? Math.min(leastMeanUs[classIndex] * MIN_MEAN_GROWTH_FACTOR, meanUs[classIndex])
                 : Double.MAX_VALUE;
     }
 
@@ -54,12 +54,12 @@
 
     /** Returns whether a class has any result. */
     public boolean hasResults(int classIndex) {
-        return counts[classIndex] > 0;
+        return resultCounts[classIndex] > 0;
     }
 
     /** Returns whether a class has enough results for its mean to be more than chance. */
     public boolean isMeanReliable(int classIndex) {
-        return counts[classIndex] * MEAN_GAIN >= RELIABLE_WINDOW_SHARE;
+        return resultCounts[classIndex] * MEAN_GAIN >= RELIABLE_WINDOW_SHARE;
     }
 
     /** Returns whether a latency is higher than that of most attempts of its class. */
