--- a/src/test/java/loadbalancer/policy/FleetSlowStartTest.java
+++ b/src/test/java/loadbalancer/policy/FleetSlowStartTest.java
@@ -23,7 +23,7 @@
     private static final long START_US = 60_000_000;
     private static final long END_US = START_US + 10_000_000;
 
-    private static EndpointListEntry startedAt(String id, long atUs) {
+    private static EndpointListEntry endpointStartedAt(String id, long atUs) {
         return new EndpointListEntry(id, 0, 0, EndpointState.READY, 1, atUs);
     }
 
@@ -39,7 +39,7 @@
             for (int i = 0; i < 200; i++) {
                 instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 20_000);
             }
-            instance.receiveEndpointList(EndpointListKind.CHANGES, List.of(startedAt(WARMING, instance.nowUs)));
+            instance.receiveEndpointList(EndpointListKind.CHANGES, List.of(endpointStartedAt(WARMING, instance.nowUs)));
             for (int i = 0; i < 15; i++) {
                 instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 20_000);
             }
@@ -69,7 +69,7 @@
             instance = new LoadBalancerFixture(settings, 500 + settings.instanceIndex)
                     .receiveEndpointList(EndpointListKind.CACHED, entries);
             instance.nowUs = START_US - 5_000_000;
-            entries.add(startedAt(WARMING, START_US));
+            entries.add(endpointStartedAt(WARMING, START_US));
         }
 
         /** Sends random traffic until the end and returns the start times of attempts at the warming endpoint. */
@@ -206,7 +206,7 @@
     private static List<EndpointListEntry> warmingEndpoints(long startedAtUs) {
         List<EndpointListEntry> entries = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            entries.add(startedAt("c" + i, startedAtUs));
+            entries.add(endpointStartedAt("c" + i, startedAtUs));
         }
         return entries;
     }
--- a/src/test/java/loadbalancer/policy/OutlierDetectionTest.java
+++ b/src/test/java/loadbalancer/policy/OutlierDetectionTest.java
@@ -22,12 +22,12 @@
      */
     private static boolean completeRequestFailingAtS0(LoadBalancerFixture instance, int classIndex) {
         long id = instance.sendRequest(classIndex);
-        boolean isAtFailing = instance.lastAttempt(id).endpointId().equals("s0");
-        instance.completeLastAttempt(id, isAtFailing ? AttemptResult.ERROR : AttemptResult.OK, 5_000);
-        if (isAtFailing && instance.attemptCount(id) > 1) {
+        boolean firstAttemptAtS0 = instance.lastAttempt(id).endpointId().equals("s0");
+        instance.completeLastAttempt(id, firstAttemptAtS0 ? AttemptResult.ERROR : AttemptResult.OK, 5_000);
+        if (firstAttemptAtS0 && instance.attemptCount(id) > 1) {
             instance.completeLastAttempt(id, AttemptResult.OK, 5_000);
         }
-        return isAtFailing;
+        return firstAttemptAtS0;
     }
 
     /** Returns an instance with four endpoints after 400 requests, whose attempts at {@code s0} all failed. */
@@ -56,7 +56,7 @@
                 probationAttempts >= 2 && probationAttempts <= 14, "probation attempts in 20 s: " + probationAttempts);
     }
 
-    /** Returns an instance with ten endpoints that reset one attempt in 14, or every attempt at {@code failing}. */
+    /** Returns an instance with ten endpoints that reset one attempt in 14; {@code failing} resets all. */
     private static LoadBalancerFixture instanceWithResets(String failing) {
         LoadBalancerFixture instance = new LoadBalancerFixture().withEndpoints(10);
         SplittableRandom random = new SplittableRandom(3);
--- a/src/test/java/loadbalancer/policy/SlowStartTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartTest.java
@@ -16,7 +16,7 @@
     /** Id of the endpoint that is warming up; the hash of the id determines the keys that the endpoint gets. */
     private static final String WARMING = "cold";
 
-    private static EndpointListEntry startedAt(long atUs) {
+    private static EndpointListEntry warmingEndpointStartedAt(long atUs) {
         return new EndpointListEntry(WARMING, 0, 0, EndpointState.READY, 1, atUs);
     }
 
@@ -26,7 +26,7 @@
         for (int i = 0; i < 400; i++) {
             instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
-        instance.receiveEndpointList(EndpointListKind.CHANGES, List.of(startedAt(instance.nowUs)));
+        instance.receiveEndpointList(EndpointListKind.CHANGES, List.of(warmingEndpointStartedAt(instance.nowUs)));
         // With 100 responses per second from five endpoints, an even share is 20 per second. A warming endpoint gets a
         // fifth of it.
         for (int round = 0; round < 200; round++) {
@@ -62,7 +62,7 @@
         for (int i = 0; i < 100; i++) {
             instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
-        instance.receiveEndpointList(EndpointListKind.CHANGES, List.of(startedAt(instance.nowUs + listAheadUs)));
+        instance.receiveEndpointList(EndpointListKind.CHANGES, List.of(warmingEndpointStartedAt(instance.nowUs + listAheadUs)));
         for (int i = 0; i < 300; i++) {
             instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
@@ -81,7 +81,7 @@
     void slowStartEndsInTimeIfTheFirstListHasAStartTimeInTheFuture() {
         LoadBalancerFixture instance = new LoadBalancerFixture();
         instance.nowUs = 10_000_000_000L;
-        instance.receiveEndpointList(EndpointListKind.CACHED, List.of(startedAt(instance.nowUs + 3_600_000_000L)));
+        instance.receiveEndpointList(EndpointListKind.CACHED, List.of(warmingEndpointStartedAt(instance.nowUs + 3_600_000_000L)));
         instance.advance(LoadBalancerFixture.settings().slowStartUs);
         for (int i = 0; i < 100; i++) {
             instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
@@ -94,7 +94,7 @@
         LoadBalancerFixture instance = new LoadBalancerFixture();
         instance.receiveEndpointList(
                 EndpointListKind.CACHED,
-                List.of(startedAt(instance.nowUs - 100_000), LoadBalancerFixture.readyEndpoint("warm")));
+                List.of(warmingEndpointStartedAt(instance.nowUs - 100_000), LoadBalancerFixture.readyEndpoint("warm")));
         for (int i = 0; i < 200; i++) {
             instance.sendRequest(LoadBalancerFixture.IDEMPOTENT);
             instance.advance(1_000);
@@ -114,7 +114,7 @@
             for (int i = 0; i < 100; i++) {
                 instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
             }
-            instance.receiveEndpointList(EndpointListKind.CHANGES, List.of(startedAt(instance.nowUs)));
+            instance.receiveEndpointList(EndpointListKind.CHANGES, List.of(warmingEndpointStartedAt(instance.nowUs)));
             for (int i = 0; i < 300; i++) {
                 instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
             }
@@ -134,7 +134,7 @@
         settings.instances = 8;
         LoadBalancerFixture instance = new LoadBalancerFixture(settings, 5);
         instance.receiveEndpointList(
-                EndpointListKind.CACHED, List.of(startedAt(instance.nowUs), LoadBalancerFixture.readyEndpoint("warm")));
+                EndpointListKind.CACHED, List.of(warmingEndpointStartedAt(instance.nowUs), LoadBalancerFixture.readyEndpoint("warm")));
         long slowStartEndsAtUs = instance.nowUs + settings.slowStartUs;
         int completed = 0;
         while (instance.nowUs < slowStartEndsAtUs) {
@@ -178,7 +178,7 @@
         LoadBalancerSettings settings = LoadBalancerFixture.settings();
         settings.endpointsCacheKeys = endpointsCacheKeys;
         LoadBalancerFixture instance = new LoadBalancerFixture(settings, 9).withEndpoints(4);
-        instance.receiveEndpointList(EndpointListKind.CHANGES, List.of(startedAt(instance.nowUs)));
+        instance.receiveEndpointList(EndpointListKind.CHANGES, List.of(warmingEndpointStartedAt(instance.nowUs)));
         sendWithKeys(instance, 1_000, 10_000);
         return instance.attemptCountAt(WARMING);
     }
@@ -201,7 +201,7 @@
         instance.nowUs = 60_000_000;
         instance.withEndpoints(4);
         long startedAtUs = instance.nowUs - settings.slowStartUs * 3 / 4;
-        instance.receiveEndpointList(EndpointListKind.CHANGES, List.of(startedAt(startedAtUs)));
+        instance.receiveEndpointList(EndpointListKind.CHANGES, List.of(warmingEndpointStartedAt(startedAtUs)));
         sendWithKeys(instance, 900, 5_000);
         return instance.attemptCountAt(WARMING);
     }
--- a/src/test/java/loadbalancer/policy/retry/RetryBudgetTest.java
+++ b/src/test/java/loadbalancer/policy/retry/RetryBudgetTest.java
@@ -9,7 +9,7 @@
 class RetryBudgetTest {
     private final RetryBudget budget = new RetryBudget();
 
-    private void assertAllows(int hedgedRequests) {
+    private void spendWholeBudget(int hedgedRequests) {
         for (int i = 0; i < hedgedRequests; i++) {
             assertTrue(budget.isAvailable(), "no budget for hedged request " + i);
             budget.spend();
@@ -19,12 +19,12 @@
 
     @Test
     void twentyHedgedRequestsMayBeSentAtOnce() {
-        assertAllows(20);
+        spendWholeBudget(20);
     }
 
     @Test
     void fiveFirstAttemptsAllowOneHedgedRequest() {
-        assertAllows(20);
+        spendWholeBudget(20);
         for (int i = 0; i < 4; i++) {
             budget.onFirstAttempt();
             assertFalse(budget.isAvailable());
@@ -38,6 +38,6 @@
         for (int i = 0; i < 1_000; i++) {
             budget.onFirstAttempt();
         }
-        assertAllows(20);
+        spendWholeBudget(20);
     }
 }
