--- a/src/main/java/loadbalancer/policy/retry/RetryRules.java
+++ b/src/main/java/loadbalancer/policy/retry/RetryRules.java
@@ -29,7 +29,8 @@
         return possiblyExecuted == null
                 || switch (requestClass.idempotency()) {
                     case IDEMPOTENT -> true;
-                    case IDEMPOTENCY_KEY -> nowUs <= possiblyExecuted.startedAtUs() + requestClass.deduplicationWindowUs();
+                    case IDEMPOTENCY_KEY ->
+                        nowUs <= possiblyExecuted.startedAtUs() + requestClass.deduplicationWindowUs();
                     case NON_IDEMPOTENT -> false;
                 };
     }
--- a/src/test/java/loadbalancer/policy/FleetSlowStartTest.java
+++ b/src/test/java/loadbalancer/policy/FleetSlowStartTest.java
@@ -200,7 +200,9 @@
         // More than a third of slow start has passed: the endpoints' capacity is about half of 840 per second, and at
         // most three times that may be sent.
         double attemptsPerSecond = attempts / (250 * 0.016);
-        assertTrue(attemptsPerSecond > 0.2 * 840 && attemptsPerSecond < 0.5 * 840 * 3, "attempts per second: " + attemptsPerSecond);
+        assertTrue(
+                attemptsPerSecond > 0.2 * 840 && attemptsPerSecond < 0.5 * 840 * 3,
+                "attempts per second: " + attemptsPerSecond);
     }
 
     private static List<EndpointListEntry> warmingEndpoints(long startedAtUs) {
--- a/src/test/java/loadbalancer/policy/KeyAffinityTest.java
+++ b/src/test/java/loadbalancer/policy/KeyAffinityTest.java
@@ -111,7 +111,9 @@
         // Errors at s3 lower its weight, so that some of its keys are picked elsewhere.
         assertEquals("s3", sendAndComplete(instance, key, AttemptResult.ERROR));
         for (int i = 0;
-                i < KEYS && !sendAndComplete(instance, "x" + i, AttemptResult.ERROR).equals("s3");
+                i < KEYS
+                        && !sendAndComplete(instance, "x" + i, AttemptResult.ERROR)
+                                .equals("s3");
                 i++) {
             instance.receiveEndpointList(EndpointListKind.COMPLETE, List.of());
             instance.withEndpoints(ENDPOINTS);
@@ -210,7 +212,9 @@
             instance.sendRequestWithKey("j" + k, LoadBalancerFixture.NON_IDEMPOTENT);
         }
         assertTrue(instance.attemptCountAt("s2") > 0, "no attempt at the added endpoint");
-        assertTrue(instance.attemptCountAt("s2") <= 10, "attempts at the added endpoint at once: " + instance.attemptCountAt("s2"));
+        assertTrue(
+                instance.attemptCountAt("s2") <= 10,
+                "attempts at the added endpoint at once: " + instance.attemptCountAt("s2"));
     }
 
     /** The latency objective is 200 ms, half of which is 100 ms. */
--- a/src/test/java/loadbalancer/policy/SlowStartTest.java
+++ b/src/test/java/loadbalancer/policy/SlowStartTest.java
@@ -43,7 +43,9 @@
                     .ifPresent(attempt -> instance.completeLastAttempt(attempt.requestId(), AttemptResult.OK, 0));
         }
         long attemptsAtWarming = instance.attemptCountAt(WARMING);
-        assertTrue(attemptsAtWarming >= 1 && attemptsAtWarming <= 16, "attempts at the warming endpoint in two seconds: " + attemptsAtWarming);
+        assertTrue(
+                attemptsAtWarming >= 1 && attemptsAtWarming <= 16,
+                "attempts at the warming endpoint in two seconds: " + attemptsAtWarming);
     }
 
     /** Guards against relying on the start time in the list: the wall clock behind it may be stepped by any amount. */
@@ -62,18 +64,23 @@
         for (int i = 0; i < 100; i++) {
             instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
-        instance.receiveEndpointList(EndpointListKind.CHANGES, List.of(warmingEndpointStartedAt(instance.nowUs + listAheadUs)));
+        instance.receiveEndpointList(
+                EndpointListKind.CHANGES, List.of(warmingEndpointStartedAt(instance.nowUs + listAheadUs)));
         for (int i = 0; i < 300; i++) {
             instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
         long attemptsAtWarming = instance.attemptCountAt(WARMING);
-        assertTrue(attemptsAtWarming >= 2 && attemptsAtWarming <= 25, "attempts at the warming endpoint, one of four, in 300 requests: " + attemptsAtWarming);
+        assertTrue(
+                attemptsAtWarming >= 2 && attemptsAtWarming <= 25,
+                "attempts at the warming endpoint, one of four, in 300 requests: " + attemptsAtWarming);
         instance.advance(LoadBalancerFixture.settings().slowStartUs);
         for (int i = 0; i < 300; i++) {
             instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
         }
         long attemptsAfterSlowStart = instance.attemptCountAt(WARMING) - attemptsAtWarming;
-        assertTrue(attemptsAfterSlowStart >= 50, "attempts at it in 300 requests after slow start: " + attemptsAfterSlowStart);
+        assertTrue(
+                attemptsAfterSlowStart >= 50,
+                "attempts at it in 300 requests after slow start: " + attemptsAfterSlowStart);
     }
 
     /** If the clock of a starting instance is behind, the start times in its first list are in the future. */
@@ -81,7 +88,8 @@
     void slowStartEndsInTimeIfTheFirstListHasAStartTimeInTheFuture() {
         LoadBalancerFixture instance = new LoadBalancerFixture();
         instance.nowUs = 10_000_000_000L;
-        instance.receiveEndpointList(EndpointListKind.CACHED, List.of(warmingEndpointStartedAt(instance.nowUs + 3_600_000_000L)));
+        instance.receiveEndpointList(
+                EndpointListKind.CACHED, List.of(warmingEndpointStartedAt(instance.nowUs + 3_600_000_000L)));
         instance.advance(LoadBalancerFixture.settings().slowStartUs);
         for (int i = 0; i < 100; i++) {
             instance.sendAndComplete(LoadBalancerFixture.IDEMPOTENT, AttemptResult.OK, 10_000);
@@ -134,7 +142,8 @@
         settings.instances = 8;
         LoadBalancerFixture instance = new LoadBalancerFixture(settings, 5);
         instance.receiveEndpointList(
-                EndpointListKind.CACHED, List.of(warmingEndpointStartedAt(instance.nowUs), LoadBalancerFixture.readyEndpoint("warm")));
+                EndpointListKind.CACHED,
+                List.of(warmingEndpointStartedAt(instance.nowUs), LoadBalancerFixture.readyEndpoint("warm")));
         long slowStartEndsAtUs = instance.nowUs + settings.slowStartUs;
         int completed = 0;
         while (instance.nowUs < slowStartEndsAtUs) {
--- a/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
+++ b/src/test/java/loadbalancer/policy/UnresponsiveAttemptTest.java
@@ -63,7 +63,8 @@
             instance.advance(USUAL_LATENCY_US / 2);
             instance.loadBalancer.onClientDisconnected(instance.nowUs, id);
             instance.loadBalancer.onAttemptOutcome(
-                    instance.nowUs, new AttemptOutcome(id, 0, AttemptResult.CANCELLED, USUAL_LATENCY_US / 2, true, null));
+                    instance.nowUs,
+                    new AttemptOutcome(id, 0, AttemptResult.CANCELLED, USUAL_LATENCY_US / 2, true, null));
         }
         assertTrue(instance.events.isEmpty(), instance.events.toString());
     }
@@ -239,7 +240,8 @@
                 instance.sendAndComplete(LoadBalancerFixture.NON_IDEMPOTENT, AttemptResult.OK, USUAL_LATENCY_US);
             }
             instance.loadBalancer.onAttemptOutcome(
-                    instance.nowUs, new AttemptOutcome(id, 0, AttemptResult.TIMEOUT, 3 * USUAL_LATENCY_US, false, null));
+                    instance.nowUs,
+                    new AttemptOutcome(id, 0, AttemptResult.TIMEOUT, 3 * USUAL_LATENCY_US, false, null));
         }
         assertTrue(inFlightBeforeQueueing(instance) >= limit, "requests in flight at once before: " + limit);
     }
--- a/src/test/java/loadbalancer/policy/model/PendingRequestTest.java
+++ b/src/test/java/loadbalancer/policy/model/PendingRequestTest.java
@@ -46,18 +46,22 @@
     @Test
     void theLatencyObjectiveIsNotAfterTheDeadline() {
         assertEquals(
-                105_000, requestWithRemaining(PolicyTestObjects.IDEMPOTENT, 100_000, 0).latencyObjectiveAtUs());
+                105_000,
+                requestWithRemaining(PolicyTestObjects.IDEMPOTENT, 100_000, 0).latencyObjectiveAtUs());
     }
 
     @Test
     void theDeadlineOfARequestWithoutTimeLeftIsItsArrival() {
-        assertEquals(NOW_US, requestWithRemaining(PolicyTestObjects.IDEMPOTENT, -1, 0).deadlineAtUs());
+        assertEquals(
+                NOW_US,
+                requestWithRemaining(PolicyTestObjects.IDEMPOTENT, -1, 0).deadlineAtUs());
     }
 
     @Test
     void theLatencyObjectiveGrowsWithTheWork() {
         assertEquals(
-                400_000, requestWithRemaining(addStretchedClass(), 3_000_000, 100_000).latencyObjectiveUs());
+                400_000,
+                requestWithRemaining(addStretchedClass(), 3_000_000, 100_000).latencyObjectiveUs());
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/retry/RetryRulesTest.java
+++ b/src/test/java/loadbalancer/policy/retry/RetryRulesTest.java
@@ -47,7 +47,8 @@
 
     @Test
     void aRequestWithIdempotencyKeyMayBeRetriedWithinItsDeduplicationWindow() {
-        PendingRequest request = requestAfterAttempt(PolicyTestObjects.KEY_DEDUPLICATED_EVERYWHERE, AttemptResult.RESET);
+        PendingRequest request =
+                requestAfterAttempt(PolicyTestObjects.KEY_DEDUPLICATED_EVERYWHERE, AttemptResult.RESET);
         assertTrue(rules.mayRetry(request, NOW_US + 400_000));
         assertFalse(rules.mayRetry(request, NOW_US + 400_001));
     }
@@ -109,7 +110,8 @@
 
     @ParameterizedTest
     @CsvSource({"0, true", "1, true", "2, false", "3, false", "4, false"})
-    void aRequestThatMayHaveBeenExecutedMayBeRejectedOnlyIfItIsSafeToRetryAtAllEndpoints(int classIndex, boolean expected) {
+    void aRequestThatMayHaveBeenExecutedMayBeRejectedOnlyIfItIsSafeToRetryAtAllEndpoints(
+            int classIndex, boolean expected) {
         assertEquals(expected, rules.mayReject(requestAfterAttempt(classIndex, AttemptResult.RESET)));
     }
 
