--- a/src/main/java/loadbalancer/policy/EndpointRegistry.java
+++ b/src/main/java/loadbalancer/policy/EndpointRegistry.java
@@ -30,7 +30,7 @@
     /** Applies a complete endpoint list or changes of the list. */
     void update(EndpointListKind kind, List<EndpointListEntry> entries, long nowUs) {
         if (kind != EndpointListKind.CHANGES) {
-            listed.forEach(Endpoint::remove);
+            listed.forEach(Endpoint::markRemoved);
             listed.clear();
         }
         for (EndpointListEntry entry : entries) {
--- a/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
+++ b/src/main/java/loadbalancer/policy/ServiceQLoadBalancer.java
@@ -195,7 +195,7 @@
         limiter.onOutcome(request, attempt, updateStatistics(request, outcome, nowUs), nowUs);
         if (outcome.result() == AttemptResult.OK || outcome.result() == AttemptResult.ERROR) {
             attempt.endpoint().healthOf(request.classIndex()).recordResponse(nowUs);
-            attempt.endpoint().concurrency().recordAnsweredAttempt(attempt.startedAtUs());
+            attempt.endpoint().concurrency().recordRespondedAttempt(attempt.startedAtUs());
         }
     }
 
@@ -283,7 +283,7 @@
             outlierDetector.onFailure(endpoint, request.classIndex(), true, nowUs);
         }
         if (endpoint.concurrency().slowness() < 1
-                && endpoint.concurrency().newestAnsweredAttemptAtUs() > attempt.startedAtUs()) {
+                && endpoint.concurrency().newestRespondedAttemptStartedAtUs() > attempt.startedAtUs()) {
             // The endpoint answers later attempts quickly, so it has lost this one, which must no longer take up
             // capacity that other requests could use.
             limiter.release(attempt);
--- a/src/main/java/loadbalancer/policy/admission/ConcurrencyLimiter.java
+++ b/src/main/java/loadbalancer/policy/admission/ConcurrencyLimiter.java
@@ -101,7 +101,7 @@
      * in balance.
      */
     public void onSharingChanged() {
-        double sharingFactor = Math.pow(sharing.instances(), SHARING_EXPONENT);
+        double sharingFactor = Math.pow(sharing.instancesPerEndpoint(), SHARING_EXPONENT);
         growthStep = GROWTH_STEP / sharingFactor;
         slowCut = 1 - Math.pow(1 - SLOW_CUT, sharingFactor);
     }
@@ -125,7 +125,7 @@
     }
 
     private double initialLimit() {
-        return (settings.endpointsCacheKeys ? INITIAL_LIMIT_WITH_KEY_CACHES : INITIAL_LIMIT) / sharing.instances();
+        return (settings.endpointsCacheKeys ? INITIAL_LIMIT_WITH_KEY_CACHES : INITIAL_LIMIT) / sharing.instancesPerEndpoint();
     }
 
     /**
@@ -146,7 +146,7 @@
 
     /** Adds an attempt to the requests in flight at its endpoint. */
     public void onAttemptStarted(Endpoint endpoint) {
-        endpoint.concurrency().increment();
+        endpoint.concurrency().incrementInFlight();
         if (endpoint.isAvailable()) {
             inFlight++;
         }
@@ -156,7 +156,7 @@
     public void release(Attempt attempt) {
         if (!attempt.isReleased()) {
             attempt.setReleased();
-            attempt.endpoint().concurrency().decrement();
+            attempt.endpoint().concurrency().decrementInFlight();
             if (attempt.endpoint().isAvailable()) {
                 inFlight--;
             }
@@ -170,8 +170,8 @@
     public boolean hasCapacity(PendingRequest request, Endpoint endpoint, long nowUs) {
         EndpointConcurrency concurrency = endpoint.concurrency();
         double limitShare = request.isOverQuota() ? OVER_QUOTA_LIMIT_SHARE : 1;
-        double burstAllowance = sharing.isSparse() ? burstAllowance(request) : 0;
-        double maxBurst = sharing.isSparse() ? MAX_BURST * priorities.relativePriority(request) : 0;
+        double burstAllowance = sharing.isWidelyShared() ? burstAllowance(request) : 0;
+        double maxBurst = sharing.isWidelyShared() ? MAX_BURST * priorities.relativePriority(request) : 0;
         boolean isAtLimit = concurrency.inFlight() + 1 > limitShare * concurrency.limit()
                 && (concurrency.inFlight() > burstAllowance * maxBurst
                         || nowUs < concurrency.pausedUntilUs() - burstAllowance * maxBurst * concurrency.pauseUs());
@@ -203,7 +203,7 @@
         double limitBefore = concurrency.limit();
         double slowAboveUs = slownessThreshold.slowAboveUs(request);
         boolean timedOut = outcome.result() == AttemptResult.TIMEOUT;
-        boolean noLaterAttemptAnswered = concurrency.newestAnsweredAttemptAtUs() <= attempt.startedAtUs();
+        boolean noLaterAttemptAnswered = concurrency.newestRespondedAttemptStartedAtUs() <= attempt.startedAtUs();
         if (outcome.result() == AttemptResult.OK || (timedOut && noLaterAttemptAnswered)) {
             double slowness = Math.min(MAX_SLOWNESS, outcome.latencyUs() / Math.max(1, slowAboveUs));
             concurrency.recordSlowness(slowness, TimelyResponseRate.GAIN);
@@ -221,7 +221,7 @@
     private void adaptLimit(
             PendingRequest request, Attempt attempt, ObservedOutcome outcome, double slowAboveUs, long nowUs) {
         if (outcome.result() == AttemptResult.OK || outcome.isAbandonedAsSlow()) {
-            double priority = sharing.isSparse() ? priorities.relativePriority(request) : 1;
+            double priority = sharing.isWidelyShared() ? priorities.relativePriority(request) : 1;
             if (outcome.latencyUs() > slowAboveUs) {
                 cutLimit(attempt, slowCut * priority, nowUs);
             } else if (!outcome.isAbandonedAsSlow()) {
@@ -262,7 +262,7 @@
             double reachedLimit = settings.endpointsCacheKeys
                     ? Math.min(concurrency.limit(), concurrency.inFlight() + 1)
                     : concurrency.limit();
-            concurrency.cutLimit(Math.max(1.0 / sharing.instances(), reachedLimit * (1 - cut)), nowUs);
+            concurrency.cutLimit(Math.max(1.0 / sharing.instancesPerEndpoint(), reachedLimit * (1 - cut)), nowUs);
         }
     }
 }
--- a/src/main/java/loadbalancer/policy/admission/LoadShedder.java
+++ b/src/main/java/loadbalancer/policy/admission/LoadShedder.java
@@ -42,7 +42,7 @@
 
     /** Decides whether a request that has just arrived is admitted, at random where the probability is below 1. */
     public boolean admits(PendingRequest request) {
-        return !sharing.isSparse() || random.nextDouble() < admissionProbability(request);
+        return !sharing.isWidelyShared() || random.nextDouble() < admissionProbability(request);
     }
 
     private double admissionProbability(PendingRequest request) {
--- a/src/main/java/loadbalancer/policy/admission/SlownessThreshold.java
+++ b/src/main/java/loadbalancer/policy/admission/SlownessThreshold.java
@@ -39,13 +39,13 @@
     /** Returns the latency, in microseconds, above which a response to {@code request} is slow. */
     double slowAboveUs(PendingRequest request) {
         double leastMeanUs = latencies.leastMeanUs(request.classIndex());
-        boolean isTolerant = settings.endpointsCacheKeys || (sharing.isSparse() && leastMeanUs < Double.MAX_VALUE);
+        boolean isTolerant = settings.endpointsCacheKeys || (sharing.isWidelyShared() && leastMeanUs < Double.MAX_VALUE);
         double objectiveThresholdUs =
                 (isTolerant ? TOLERANT_OBJECTIVE_SHARE : OBJECTIVE_SHARE) * request.latencyObjectiveUs();
         if (settings.endpointsCacheKeys) {
             return objectiveThresholdUs;
         }
-        double multipleFactor = sharing.isSparse() ? SPARSE_MULTIPLE_FACTOR : 1;
+        double multipleFactor = sharing.isWidelyShared() ? SPARSE_MULTIPLE_FACTOR : 1;
         return Math.min(objectiveThresholdUs, multipleFactor * LOWEST_MEAN_MULTIPLE * leastMeanUs);
     }
 }
--- a/src/main/java/loadbalancer/policy/health/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/health/OutlierDetector.java
@@ -105,7 +105,7 @@
         activeEndpoints = active.length;
         ejected.clear();
         for (Endpoint endpoint : active) {
-            if (endpoint.isEjectedForAny()) {
+            if (endpoint.isEjectedForAnyClass()) {
                 ejected.add(endpoint);
             }
         }
@@ -153,7 +153,7 @@
      * recent results.
      */
     private static boolean servesOtherClass(Endpoint endpoint, EndpointHealth classHealth) {
-        for (int c = 0; c < endpoint.classes(); c++) {
+        for (int c = 0; c < endpoint.classCount(); c++) {
             EndpointHealth other = endpoint.healthOf(c);
             if (other.lastSuccessAtUs() > classHealth.lastSuccessAtUs() && other.recentFailures() == 0) {
                 return true;
@@ -174,7 +174,7 @@
                 || endpoint.health().isEjected()) {
             return;
         }
-        int newErrorCount = sharing.isSparse() ? errorsAfterSuccess(endpoint.errorCount(), isSlow) : 0;
+        int newErrorCount = sharing.isWidelyShared() ? errorsAfterSuccess(endpoint.errorCount(), isSlow) : 0;
         if (newErrorCount != endpoint.errorCount()) {
             setErrorCount(endpoint, newErrorCount);
         }
@@ -219,7 +219,7 @@
                     : settings.classes.get(classIndex).name();
             log.record(new EndpointEjected(endpoint.id(), health.recentFailures(), className), nowUs);
         }
-        long previousDurationUs = health.isEjected() ? health.ejectionUs() : FIRST_EJECTION_US / 2;
+        long previousDurationUs = health.isEjected() ? health.ejectionDurationUs() : FIRST_EJECTION_US / 2;
         long durationUs = Math.min(MAX_EJECTION_US, 2 * previousDurationUs);
         health.eject(durationUs, nowUs + durationUs / 2 + random.nextLong(durationUs));
         listener.onEjectionsChanged();
@@ -242,7 +242,7 @@
             setErrorCount(endpoint, 0);
         }
         endpoint.health().reset();
-        for (int c = 0; c < endpoint.classes(); c++) {
+        for (int c = 0; c < endpoint.classCount(); c++) {
             endpoint.healthOf(c).reset();
         }
     }
@@ -275,7 +275,7 @@
             return !overallHealth.isEjected()
                     && classHealth.isEjected()
                     && nowUs
-                            >= classHealth.probationAtUs() + NON_IDEMPOTENT_PROBATION_FACTOR * classHealth.ejectionUs();
+                            >= classHealth.probationAtUs() + NON_IDEMPOTENT_PROBATION_FACTOR * classHealth.ejectionDurationUs();
         }
         return (overallHealth.isEjected() && nowUs >= overallHealth.probationAtUs())
                 || (classHealth.isEjected() && nowUs >= classHealth.probationAtUs());
--- a/src/main/java/loadbalancer/policy/model/Endpoint.java
+++ b/src/main/java/loadbalancer/policy/model/Endpoint.java
@@ -20,7 +20,7 @@
     private long warmingUpSinceUs;
     private long lastAttemptAtUs;
     private boolean active;
-    private int position;
+    private int activeIndex;
     private int errorCount;
 
     /**
@@ -55,7 +55,7 @@
     }
 
     /** Returns the number of request classes. */
-    public int classes() {
+    public int classCount() {
         return healthByClass.length;
     }
 
@@ -87,7 +87,7 @@
     }
 
     /** Marks the endpoint as no longer in the endpoint list. */
-    public void remove() {
+    public void markRemoved() {
         state = EndpointState.REMOVED;
     }
 
@@ -135,14 +135,14 @@
     }
 
     /** Returns the index among the active endpoints, in list order; an inactive endpoint keeps its last index. */
-    public int position() {
-        return position;
+    public int activeIndex() {
+        return activeIndex;
     }
 
     /** Marks the endpoint as active, at this index among the active endpoints. */
     public void activate(int index) {
         active = true;
-        position = index;
+        activeIndex = index;
     }
 
     /** Marks the endpoint as not active. */
@@ -164,7 +164,7 @@
     }
 
     /** Returns whether the endpoint is ejected for at least one request class. */
-    public boolean isEjectedForAny() {
+    public boolean isEjectedForAnyClass() {
         if (health.isEjected()) {
             return true;
         }
--- a/src/main/java/loadbalancer/policy/model/EndpointConcurrency.java
+++ b/src/main/java/loadbalancer/policy/model/EndpointConcurrency.java
@@ -13,7 +13,7 @@
     private long limitReachedAtUs;
     private long pausedUntilUs;
     private long pauseUs;
-    private long newestAnsweredAttemptAtUs;
+    private long newestRespondedAttemptStartedAtUs;
     private double slowness;
 
     /** Discards the limit and slowness of an earlier incarnation; requests in flight stay counted. */
@@ -28,12 +28,12 @@
     }
 
     /** Adds one request in flight. */
-    public void increment() {
+    public void incrementInFlight() {
         inFlight++;
     }
 
     /** Subtracts one request in flight. */
-    public void decrement() {
+    public void decrementInFlight() {
         inFlight--;
     }
 
@@ -95,13 +95,13 @@
     }
 
     /** Returns the latest start time of all attempts that got a response, or 0 if there are none. */
-    public long newestAnsweredAttemptAtUs() {
-        return newestAnsweredAttemptAtUs;
+    public long newestRespondedAttemptStartedAtUs() {
+        return newestRespondedAttemptStartedAtUs;
     }
 
     /** Records that an attempt that started at this time got a response. */
-    public void recordAnsweredAttempt(long attemptStartedAtUs) {
-        newestAnsweredAttemptAtUs = Math.max(newestAnsweredAttemptAtUs, attemptStartedAtUs);
+    public void recordRespondedAttempt(long attemptStartedAtUs) {
+        newestRespondedAttemptStartedAtUs = Math.max(newestRespondedAttemptStartedAtUs, attemptStartedAtUs);
     }
 
     /** Returns the running mean of latency divided by the threshold for slow responses; from 1 on it means overload. */
--- a/src/main/java/loadbalancer/policy/model/EndpointHealth.java
+++ b/src/main/java/loadbalancer/policy/model/EndpointHealth.java
@@ -15,7 +15,7 @@
 
     private boolean ejected;
     private long probationAtUs;
-    private long ejectionUs;
+    private long ejectionDurationUs;
     private int probationSuccesses;
     private long lastResponseAtUs;
     private long lastSuccessAtUs;
@@ -54,7 +54,7 @@
      */
     public void eject(long durationUs, long untilUs) {
         ejected = true;
-        ejectionUs = durationUs;
+        ejectionDurationUs = durationUs;
         probationAtUs = untilUs;
     }
 
@@ -71,8 +71,8 @@
     }
 
     /** Returns the mean duration with which the endpoint was last ejected. */
-    public long ejectionUs() {
-        return ejectionUs;
+    public long ejectionDurationUs() {
+        return ejectionDurationUs;
     }
 
     /** Returns the earliest time of the next probation attempt. */
--- a/src/main/java/loadbalancer/policy/model/EndpointSharing.java
+++ b/src/main/java/loadbalancer/policy/model/EndpointSharing.java
@@ -9,24 +9,24 @@
     /** Number of instances per endpoint above which an endpoint counts as widely shared. */
     private static final double WIDELY_SHARED_ABOVE_INSTANCES = 20;
 
-    private double instances;
+    private double instancesPerEndpoint;
 
     /** Creates the initial state, in which every instance of the fleet uses all endpoints. */
     public EndpointSharing(int fleetInstances) {
-        instances = fleetInstances;
+        instancesPerEndpoint = fleetInstances;
     }
 
-    public void setInstances(double newInstances) {
-        instances = newInstances;
+    public void setInstancesPerEndpoint(double newInstances) {
+        instancesPerEndpoint = newInstances;
     }
 
     /** Returns the mean number of instances that share an endpoint. */
-    public double instances() {
-        return instances;
+    public double instancesPerEndpoint() {
+        return instancesPerEndpoint;
     }
 
     /** Returns whether so many instances share an endpoint that each of them sees little of its load. */
-    public boolean isSparse() {
-        return instances > WIDELY_SHARED_ABOVE_INSTANCES;
+    public boolean isWidelyShared() {
+        return instancesPerEndpoint > WIDELY_SHARED_ABOVE_INSTANCES;
     }
 }
--- a/src/main/java/loadbalancer/policy/selection/EndpointPicker.java
+++ b/src/main/java/loadbalancer/policy/selection/EndpointPicker.java
@@ -158,7 +158,7 @@
             return pickByKey(request, allEndpoints, null, true, nowUs);
         }
         for (int i = 1; i <= active.length; i++) {
-            Endpoint next = active[(failed.position() + i) % active.length];
+            Endpoint next = active[(failed.activeIndex() + i) % active.length];
             if (!request.hasTried(next) && filter.mayAttemptAt(request, next, nowUs)) {
                 return next;
             }
--- a/src/main/java/loadbalancer/policy/selection/EndpointSubset.java
+++ b/src/main/java/loadbalancer/policy/selection/EndpointSubset.java
@@ -53,7 +53,7 @@
     public Endpoint[] selectFrom(Endpoint[] ready) {
         Set<Endpoint> subset = new HashSet<>(selectSubset(ready));
         double instancesPerEndpoint = (double) settings.instances * subset.size() / Math.max(1, ready.length);
-        sharing.setInstances(Math.max(1, instancesPerEndpoint));
+        sharing.setInstancesPerEndpoint(Math.max(1, instancesPerEndpoint));
         return Arrays.stream(ready).filter(subset::contains).toArray(Endpoint[]::new);
     }
 
--- a/src/test/java/loadbalancer/policy/ActiveEndpointsTest.java
+++ b/src/test/java/loadbalancer/policy/ActiveEndpointsTest.java
@@ -27,7 +27,7 @@
     void activeEndpointsGetAPositionAndAnInitialLimit() {
         for (int i = 0; i < endpoints.length; i++) {
             assertTrue(endpoints[i].isActive());
-            assertEquals(i, endpoints[i].position());
+            assertEquals(i, endpoints[i].activeIndex());
             assertEquals(4, endpoints[i].concurrency().limit());
         }
     }
@@ -37,7 +37,7 @@
         drain(endpoints[1]);
         update(endpoints);
         assertFalse(endpoints[1].isActive());
-        assertEquals(1, endpoints[2].position());
+        assertEquals(1, endpoints[2].activeIndex());
     }
 
     @Test
@@ -49,10 +49,10 @@
 
     @Test
     void connectionsStayOpenUntilNoAttemptIsInFlight() {
-        endpoints[0].concurrency().increment();
+        endpoints[0].concurrency().incrementInFlight();
         update(endpoints[1], endpoints[2]);
         assertEquals(List.of(), parts.actions.closedEndpoints);
-        endpoints[0].concurrency().decrement();
+        endpoints[0].concurrency().decrementInFlight();
         parts.activeEndpoints.closeIfUnused(endpoints[0]);
         assertEquals(List.of("a"), parts.actions.closedEndpoints);
     }
--- a/src/test/java/loadbalancer/policy/AttemptDispatcherTest.java
+++ b/src/test/java/loadbalancer/policy/AttemptDispatcherTest.java
@@ -64,7 +64,7 @@
     @Test
     void aRequestIsQueuedIfNoEndpointHasCapacityForItsRetry() {
         endpoints[1].concurrency().setLimit(0.5);
-        endpoints[1].concurrency().increment();
+        endpoints[1].concurrency().incrementInFlight();
         PendingRequest request = startAndRetryRequest(PolicyTestObjects.IDEMPOTENT, AttemptResult.ERROR);
         assertTrue(request.isQueued());
         assertFalse(queue.isEmpty());
--- a/src/test/java/loadbalancer/policy/EndpointRegistryTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointRegistryTest.java
@@ -83,11 +83,11 @@
     void removedEndpointsAreForgottenOnceTheyHaveNoAttemptInFlight() {
         update(EndpointListKind.COMPLETE, ready("a"), ready("b"));
         Endpoint busy = registry.listed().get(0);
-        busy.concurrency().increment();
+        busy.concurrency().incrementInFlight();
         update(EndpointListKind.COMPLETE);
         registry.forgetRemoved();
         assertEquals(1, registry.size());
-        busy.concurrency().decrement();
+        busy.concurrency().decrementInFlight();
         registry.forgetRemoved();
         assertEquals(0, registry.size());
         update(EndpointListKind.CHANGES, ready("a"));
--- a/src/test/java/loadbalancer/policy/EndpointSelectorTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointSelectorTest.java
@@ -44,7 +44,7 @@
     @Test
     void noAttemptIsMadeAtAnEndpointWithoutCapacity() {
         endpoint.concurrency().setLimit(1);
-        endpoint.concurrency().increment();
+        endpoint.concurrency().incrementInFlight();
         assertFalse(mayAttempt());
         assertTrue(parts.filter.isPermitted(request, endpoint, NOW_US));
     }
--- a/src/test/java/loadbalancer/policy/health/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/policy/health/OutlierDetectorTest.java
@@ -81,7 +81,7 @@
 
     @Test
     void aQuickSuccessRemovesOneErrorIfManyInstancesShareAnEndpoint() {
-        sharing.setInstances(24);
+        sharing.setInstancesPerEndpoint(24);
         fail(endpoint, 0, 3);
         succeed(false, 1, NOW_US);
         assertEquals(2, endpoint.errorCount());
@@ -89,7 +89,7 @@
 
     @Test
     void slowSuccessesAddUpToEightErrorsIfManyInstancesShareAnEndpoint() {
-        sharing.setInstances(24);
+        sharing.setInstancesPerEndpoint(24);
         succeed(true, 1, NOW_US);
         assertEquals(1, endpoint.errorCount());
         succeed(true, 20, NOW_US);
@@ -113,7 +113,7 @@
             detector.onFailure(endpoint, 0, false, NOW_US);
         }
         assertEquals(16, endpoint.errorCount());
-        assertFalse(endpoint.isEjectedForAny());
+        assertFalse(endpoint.isEjectedForAnyClass());
     }
 
     @Test
@@ -133,14 +133,14 @@
         }
         assertTrue(active[0].health().isEjected());
         assertTrue(active[1].health().isEjected());
-        assertFalse(active[2].isEjectedForAny());
-        assertFalse(active[3].isEjectedForAny());
+        assertFalse(active[2].isEjectedForAnyClass());
+        assertFalse(active[3].isEjectedForAnyClass());
     }
 
     @Test
     void theFirstEjectionLastsAQuarterOfASecondOnAverage() {
         fail(endpoint, 0, FAILURES_TO_EJECT);
-        assertEquals(250_000, endpoint.health().ejectionUs());
+        assertEquals(250_000, endpoint.health().ejectionDurationUs());
         assertEquals(
                 NOW_US + 125_000 + new SplittableRandom(SEED).nextLong(250_000),
                 endpoint.health().probationAtUs());
@@ -149,11 +149,11 @@
     @Test
     void everyFailureDuringAnEjectionDoublesItsDurationUpToFourSeconds() {
         fail(endpoint, 0, FAILURES_TO_EJECT + 1);
-        assertEquals(500_000, endpoint.health().ejectionUs());
+        assertEquals(500_000, endpoint.health().ejectionDurationUs());
         fail(endpoint, 0, 3);
-        assertEquals(4_000_000, endpoint.health().ejectionUs());
+        assertEquals(4_000_000, endpoint.health().ejectionDurationUs());
         fail(endpoint, 0, 1);
-        assertEquals(4_000_000, endpoint.health().ejectionUs());
+        assertEquals(4_000_000, endpoint.health().ejectionDurationUs());
     }
 
     @Test
@@ -162,7 +162,7 @@
         succeed(false, 2, NOW_US + 1_000_000);
         assertTrue(endpoint.health().isEjected());
         succeed(false, 1, NOW_US + 1_000_000);
-        assertFalse(endpoint.isEjectedForAny());
+        assertFalse(endpoint.isEjectedForAnyClass());
         assertFalse(detector.hasEjectedEndpoints());
         assertEquals(0, endpoint.errorCount());
         assertEquals(new EndpointRestored("e0", false), actions.events.get(1));
@@ -173,7 +173,7 @@
         fail(endpoint, 0, FAILURES_TO_EJECT);
         detector.resetHistory(endpoint);
         assertEquals(0, endpoint.errorCount());
-        assertFalse(endpoint.isEjectedForAny());
+        assertFalse(endpoint.isEjectedForAnyClass());
     }
 
     @Test
@@ -189,7 +189,7 @@
     @Test
     void noProbationAttemptIsMadeWhileARequestIsInFlight() {
         fail(endpoint, 0, FAILURES_TO_EJECT);
-        endpoint.concurrency().increment();
+        endpoint.concurrency().incrementInFlight();
         assertNull(detector.findProbationEndpoint(
                 request(0), any -> true, endpoint.health().probationAtUs()));
     }
--- a/src/test/java/loadbalancer/policy/model/EndpointConcurrencyTest.java
+++ b/src/test/java/loadbalancer/policy/model/EndpointConcurrencyTest.java
@@ -10,9 +10,9 @@
 
     @Test
     void aResetDiscardsTheLimitAndKeepsTheRequestsInFlight() {
-        concurrency.increment();
-        concurrency.increment();
-        concurrency.decrement();
+        concurrency.incrementInFlight();
+        concurrency.incrementInFlight();
+        concurrency.decrementInFlight();
         concurrency.setLimit(3);
         concurrency.resetLimit();
         assertEquals(1, concurrency.inFlight());
@@ -54,8 +54,8 @@
 
     @Test
     void theLatestStartIsKeptWhenAnOlderAttemptGetsItsResponseLater() {
-        concurrency.recordAnsweredAttempt(2_000);
-        concurrency.recordAnsweredAttempt(1_000);
-        assertEquals(2_000, concurrency.newestAnsweredAttemptAtUs());
+        concurrency.recordRespondedAttempt(2_000);
+        concurrency.recordRespondedAttempt(1_000);
+        assertEquals(2_000, concurrency.newestRespondedAttemptStartedAtUs());
     }
 }
--- a/src/test/java/loadbalancer/policy/model/EndpointHealthTest.java
+++ b/src/test/java/loadbalancer/policy/model/EndpointHealthTest.java
@@ -40,7 +40,7 @@
     void afterASuccessTheNextProbationAttemptMayFollowAtOnce() {
         health.eject(250_000, 1_300_000);
         assertEquals(1_300_000, health.probationAtUs());
-        assertEquals(250_000, health.ejectionUs());
+        assertEquals(250_000, health.ejectionDurationUs());
         health.recordSuccess(1_310_000);
         assertEquals(1_310_000, health.probationAtUs());
         assertEquals(1_310_000, health.lastSuccessAtUs());
--- a/src/test/java/loadbalancer/policy/model/EndpointSharingTest.java
+++ b/src/test/java/loadbalancer/policy/model/EndpointSharingTest.java
@@ -10,8 +10,8 @@
     @Test
     void endpointsAreWidelySharedAboveTwentyInstancesPerEndpoint() {
         EndpointSharing sharing = new EndpointSharing(20);
-        assertFalse(sharing.isSparse());
-        sharing.setInstances(20.5);
-        assertTrue(sharing.isSparse());
+        assertFalse(sharing.isWidelyShared());
+        sharing.setInstancesPerEndpoint(20.5);
+        assertTrue(sharing.isWidelyShared());
     }
 }
--- a/src/test/java/loadbalancer/policy/model/EndpointTest.java
+++ b/src/test/java/loadbalancer/policy/model/EndpointTest.java
@@ -35,7 +35,7 @@
         endpoint.healthOf(1).eject(1, 1);
         assertFalse(endpoint.isEjectedFor(0));
         assertTrue(endpoint.isEjectedFor(1));
-        assertTrue(endpoint.isEjectedForAny());
+        assertTrue(endpoint.isEjectedForAnyClass());
         assertTrue(endpoint.isAvailable());
     }
 
@@ -44,7 +44,7 @@
         endpoint.health().eject(1, 1);
         assertTrue(endpoint.isEjectedFor(0));
         assertTrue(endpoint.isEjectedFor(1));
-        assertTrue(endpoint.isEjectedForAny());
+        assertTrue(endpoint.isEjectedForAnyClass());
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/selection/EndpointPickerTest.java
+++ b/src/test/java/loadbalancer/policy/selection/EndpointPickerTest.java
@@ -54,7 +54,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void theEndpointWithFewerRequestsInFlightIsPicked(long seed) {
         Endpoint[] active = endpoints(2);
-        active[0].concurrency().increment();
+        active[0].concurrency().incrementInFlight();
         assertSame(active[1], picker(active, seed).pick(request(), NOW_US));
     }
 
@@ -95,9 +95,9 @@
     void aRemoteEndpointWithTwoFewerRequestsInFlightIsPicked() {
         settings.crossZoneCost = 0.1;
         Endpoint[] active = endpointsInZones(0, 1);
-        active[0].concurrency().increment();
+        active[0].concurrency().incrementInFlight();
         assertSame(active[0], picker(active, 1).pick(request(), NOW_US));
-        active[0].concurrency().increment();
+        active[0].concurrency().incrementInFlight();
         assertSame(active[1], picker(active, 1).pick(request(), NOW_US));
     }
 
@@ -134,10 +134,10 @@
         Endpoint[] active = endpoints(10);
         EndpointPicker picker = picker(active, 1);
         Endpoint first = picker.pick(requestWithKey("key"), NOW_US);
-        first.concurrency().increment();
+        first.concurrency().incrementInFlight();
         Endpoint second = picker.pick(requestWithKey("key"), NOW_US);
         assertNotSame(first, second);
-        second.concurrency().increment();
+        second.concurrency().incrementInFlight();
         assertSame(first, picker.pick(requestWithKey("key"), NOW_US));
     }
 
@@ -150,7 +150,7 @@
         Endpoint first = picker.pick(request, NOW_US);
         request.endAttempt(request.startAttempt(first, NOW_US), AttemptResult.REJECTED);
         Endpoint second = picker.pickForRetry(request, first, NOW_US);
-        first.concurrency().increment();
+        first.concurrency().incrementInFlight();
         assertSame(picker.pick(requestWithKey("key"), NOW_US), second);
     }
 
--- a/src/test/java/loadbalancer/policy/selection/EndpointSubsetTest.java
+++ b/src/test/java/loadbalancer/policy/selection/EndpointSubsetTest.java
@@ -36,14 +36,14 @@
     void upToTwentyFourInstancesUseAllEndpoints() {
         Endpoint[] ready = PolicyTestObjects.activeEndpoints(settings, 40);
         assertArrayEquals(ready, subset(24, 3, ready));
-        assertEquals(24, sharing.instances());
+        assertEquals(24, sharing.instancesPerEndpoint());
     }
 
     @Test
     void inALargeFleetTwentyFourInstancesShareAnEndpoint() {
         Endpoint[] ready = PolicyTestObjects.activeEndpoints(settings, 40);
         assertEquals(4, subset(240, 3, ready).length);
-        assertEquals(24, sharing.instances());
+        assertEquals(24, sharing.instancesPerEndpoint());
     }
 
     @Test
@@ -74,7 +74,7 @@
     @Test
     void theSubsetIsEmptyWithoutEndpoints() {
         assertEquals(0, subset(240, 3, new Endpoint[0]).length);
-        assertEquals(1, sharing.instances());
+        assertEquals(1, sharing.instancesPerEndpoint());
     }
 
     @Test
