--- a/src/main/java/loadbalancer/policy/AttemptDispatcher.java
+++ b/src/main/java/loadbalancer/policy/AttemptDispatcher.java
@@ -10,7 +10,7 @@
 import loadbalancer.policy.model.Attempt;
 import loadbalancer.policy.model.Endpoint;
 import loadbalancer.policy.model.PendingRequest;
-import loadbalancer.policy.retry.RetryBudget;
+import loadbalancer.policy.retry.HedgingBudget;
 import loadbalancer.policy.retry.RetryRules;
 import loadbalancer.policy.statistics.ServiceRate;
 
@@ -24,7 +24,7 @@
     private final ConcurrencyLimiter limiter;
     private final ServiceRate serviceRate;
     private final UnresponsiveAttemptDetector unresponsiveAttempts;
-    private final RetryBudget hedgingBudget = new RetryBudget();
+    private final HedgingBudget hedgingBudget = new HedgingBudget();
     private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
 
     AttemptDispatcher(
@@ -143,7 +143,7 @@
 
     /** Removes a request that is finished and has no attempt in flight. */
     void removeIfPossible(PendingRequest request) {
-        if (request.isDone()) {
+        if (request.canBeRemoved()) {
             pendingRequests.remove(request.id());
         }
     }
--- a/src/main/java/loadbalancer/policy/EndpointSelector.java
+++ b/src/main/java/loadbalancer/policy/EndpointSelector.java
@@ -44,7 +44,7 @@
         boolean isPermitted(PendingRequest request, Endpoint endpoint, long nowUs) {
             return endpoint.state() == EndpointState.READY
                     && slowStart.allows(endpoint, nowUs)
-                    && retryRules.permits(request, endpoint);
+                    && retryRules.permitsAttemptAt(request, endpoint);
         }
     }
 
--- a/src/main/java/loadbalancer/policy/admission/RequestPriorities.java
+++ b/src/main/java/loadbalancer/policy/admission/RequestPriorities.java
@@ -24,7 +24,7 @@
     /** Sets the priority of a request that has just arrived, and counts the request against its tenant's quota. */
     public void assign(PendingRequest request, long nowUs) {
         double weight = request.requestClass().priorityWeight();
-        if (!quotas.tryConsume(request.tenant(), nowUs)) {
+        if (!quotas.tryConsume(request.tenantIndex(), nowUs)) {
             weight *= settings.overQuotaPriorityFactor;
             if (!settings.endpointsCacheKeys) {
                 request.setOverQuota();
--- a/src/main/java/loadbalancer/policy/model/PendingRequest.java
+++ b/src/main/java/loadbalancer/policy/model/PendingRequest.java
@@ -59,7 +59,7 @@
     }
 
     /** Returns the index of the tenant in the settings, or -1. */
-    public int tenant() {
+    public int tenantIndex() {
         return request.tenant();
     }
 
@@ -142,7 +142,7 @@
     }
 
     /** Returns whether the request is finished and has no attempt in flight, so that it can be forgotten. */
-    public boolean isDone() {
+    public boolean canBeRemoved() {
         return isFinished() && inFlight == 0;
     }
 
@@ -243,7 +243,7 @@
     }
 
     /** Returns the first attempt that may have been executed, or null; it restricts retries and rejection. */
-    public Attempt firstPossiblyExecuted() {
+    public Attempt firstPossiblyExecutedAttempt() {
         for (int i = 0; i < attemptCount; i++) {
             if (attempts[i].mayHaveBeenExecuted()) {
                 return attempts[i];
--- a/src/main/java/loadbalancer/policy/retry/RetryBudget.java
+++ b/src/main/java/loadbalancer/policy/retry/HedgingBudget.java
@@ -1,7 +1,7 @@
 package loadbalancer.policy.retry;
 
 /** Limits hedged requests to a share of first attempts, with a maximum burst. */
-public final class RetryBudget {
+public final class HedgingBudget {
     private static final double TOKENS_PER_FIRST_ATTEMPT = 0.2;
     private static final double MAX_TOKENS = 20;
 
--- a/src/main/java/loadbalancer/policy/retry/RetryRules.java
+++ b/src/main/java/loadbalancer/policy/retry/RetryRules.java
@@ -24,7 +24,7 @@
                 || request.isStreaming()) {
             return false;
         }
-        Attempt possiblyExecuted = request.firstPossiblyExecuted();
+        Attempt possiblyExecuted = request.firstPossiblyExecutedAttempt();
         RequestClass requestClass = request.requestClass();
         return possiblyExecuted == null
                 || switch (requestClass.idempotency()) {
@@ -40,11 +40,11 @@
      * request with an idempotency key may have been executed, only endpoints in the deduplication scope of that attempt
      * are permitted.
      */
-    public boolean permits(PendingRequest request, Endpoint endpoint) {
+    public boolean permitsAttemptAt(PendingRequest request, Endpoint endpoint) {
         if (request.requestClass().idempotency() != Idempotency.IDEMPOTENCY_KEY) {
             return true;
         }
-        Attempt possiblyExecuted = request.firstPossiblyExecuted();
+        Attempt possiblyExecuted = request.firstPossiblyExecutedAttempt();
         return possiblyExecuted == null
                 || switch (request.requestClass().deduplicationScope()) {
                     case ALL -> true;
@@ -59,7 +59,7 @@
      */
     public boolean mayReject(PendingRequest request) {
         RequestClass requestClass = request.requestClass();
-        return request.firstPossiblyExecuted() == null
+        return request.firstPossiblyExecutedAttempt() == null
                 || requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                         && requestClass.deduplicationScope() == DeduplicationScope.ALL);
--- a/src/main/java/loadbalancer/policy/selection/EndpointPicker.java
+++ b/src/main/java/loadbalancer/policy/selection/EndpointPicker.java
@@ -154,7 +154,7 @@
      * executed. Otherwise the next permitted endpoint after {@code failed} in list order is returned.
      */
     public Endpoint pickForRetry(PendingRequest request, Endpoint failed, long nowUs) {
-        if (request.hasKeyAffinity() && request.firstPossiblyExecuted() == null) {
+        if (request.hasKeyAffinity() && request.firstPossiblyExecutedAttempt() == null) {
             return pickByKey(request, allEndpoints, null, true, nowUs);
         }
         for (int i = 1; i <= active.length; i++) {
--- a/src/main/java/loadbalancer/policy/statistics/LatencyStatistics.java
+++ b/src/main/java/loadbalancer/policy/statistics/LatencyStatistics.java
@@ -15,7 +15,7 @@
     private static final double SLOW_MEAN_SHARE = 0.8;
 
     private final double[] meanUs;
-    private final double[] leastMeanUs;
+    private final double[] lowestMeanUs;
     private final int[] resultCounts;
 
     /**
@@ -25,7 +25,7 @@
      */
     public LatencyStatistics(int classCount) {
         meanUs = new double[classCount];
-        leastMeanUs = new double[classCount];
+        lowestMeanUs = new double[classCount];
         resultCounts = new int[classCount];
     }
 
@@ -34,8 +34,8 @@
         resultCounts[classIndex]++;
         double gain = Math.max(MEAN_GAIN, 1.0 / resultCounts[classIndex]);
         meanUs[classIndex] += gain * (latencyUs - meanUs[classIndex]);
-        leastMeanUs[classIndex] = isMeanReliable(classIndex)
-                ? Math.min(leastMeanUs[classIndex] * MIN_MEAN_GROWTH_FACTOR, meanUs[classIndex])
+        lowestMeanUs[classIndex] = isMeanReliable(classIndex)
+                ? Math.min(lowestMeanUs[classIndex] * MIN_MEAN_GROWTH_FACTOR, meanUs[classIndex])
                 : Double.MAX_VALUE;
     }
 
@@ -48,8 +48,8 @@
      * Returns the minimum of a class's mean since it became reliable, which grows slightly with each result;
      * {@link Double#MAX_VALUE} while the mean is not reliable, and 0 before the first result.
      */
-    public double leastMeanUs(int classIndex) {
-        return leastMeanUs[classIndex];
+    public double lowestMeanUs(int classIndex) {
+        return lowestMeanUs[classIndex];
     }
 
     /** Returns whether a class has any result. */
--- a/src/test/java/loadbalancer/policy/model/PendingRequestTest.java
+++ b/src/test/java/loadbalancer/policy/model/PendingRequestTest.java
@@ -86,21 +86,21 @@
     void aFinishedRequestCanBeForgottenOnceItHasNoAttemptsInFlight() {
         Attempt attempt = request.startAttempt(endpoint, NOW_US);
         request.finish();
-        assertFalse(request.isDone());
+        assertFalse(request.canBeRemoved());
         request.endAttempt(attempt, AttemptResult.OK);
-        assertTrue(request.isDone());
+        assertTrue(request.canBeRemoved());
     }
 
     @Test
     void attemptsKnownNotExecutedDoNotRestrictRetries() {
         Attempt first = request.startAttempt(endpoint, NOW_US);
         request.endAttempt(first, AttemptResult.CONNECT_FAILED);
-        assertNull(request.firstPossiblyExecuted());
+        assertNull(request.firstPossiblyExecutedAttempt());
         Attempt second = request.startAttempt(endpoint, NOW_US);
-        assertSame(second, request.firstPossiblyExecuted());
+        assertSame(second, request.firstPossiblyExecutedAttempt());
         request.endAttempt(second, AttemptResult.RESET);
         request.startAttempt(endpoint, NOW_US);
-        assertSame(second, request.firstPossiblyExecuted());
+        assertSame(second, request.firstPossiblyExecutedAttempt());
     }
 
     @Test
--- a/src/test/java/loadbalancer/policy/retry/RetryBudgetTest.java
+++ b/src/test/java/loadbalancer/policy/retry/HedgingBudgetTest.java
@@ -5,9 +5,9 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests for the number of hedged requests that {@link RetryBudget} allows. */
-class RetryBudgetTest {
-    private final RetryBudget budget = new RetryBudget();
+/** Tests for the number of hedged requests that {@link HedgingBudget} allows. */
+class HedgingBudgetTest {
+    private final HedgingBudget budget = new HedgingBudget();
 
     private void spendWholeBudget(int hedgedRequests) {
         for (int i = 0; i < hedgedRequests; i++) {
--- a/src/test/java/loadbalancer/policy/retry/RetryRulesTest.java
+++ b/src/test/java/loadbalancer/policy/retry/RetryRulesTest.java
@@ -79,15 +79,15 @@
     @Test
     void endpointsOutsideTheDeduplicationZoneAreNotPermitted() {
         PendingRequest request = requestAfterAttempt(ZONE_CLASS, AttemptResult.TIMEOUT);
-        assertTrue(rules.permits(request, PolicyTestObjects.endpoint(settings, "b", 0, 2)));
-        assertFalse(rules.permits(request, PolicyTestObjects.endpoint(settings, "b", 1, 1)));
+        assertTrue(rules.permitsAttemptAt(request, PolicyTestObjects.endpoint(settings, "b", 0, 2)));
+        assertFalse(rules.permitsAttemptAt(request, PolicyTestObjects.endpoint(settings, "b", 1, 1)));
     }
 
     @Test
     void endpointsOutsideTheDeduplicationCellAreNotPermitted() {
         PendingRequest request = requestAfterAttempt(CELL_CLASS, AttemptResult.TIMEOUT);
-        assertTrue(rules.permits(request, PolicyTestObjects.endpoint(settings, "b", 1, 1)));
-        assertFalse(rules.permits(request, PolicyTestObjects.endpoint(settings, "b", 0, 2)));
+        assertTrue(rules.permitsAttemptAt(request, PolicyTestObjects.endpoint(settings, "b", 1, 1)));
+        assertFalse(rules.permitsAttemptAt(request, PolicyTestObjects.endpoint(settings, "b", 0, 2)));
     }
 
     @ParameterizedTest
@@ -99,13 +99,13 @@
             })
     void requestsOfClassesWithoutZoneOrCellScopeArePermittedAtAllEndpoints(int classIndex) {
         PendingRequest request = requestAfterAttempt(classIndex, AttemptResult.TIMEOUT);
-        assertTrue(rules.permits(request, PolicyTestObjects.endpoint(settings, "b", 1, 2)));
+        assertTrue(rules.permitsAttemptAt(request, PolicyTestObjects.endpoint(settings, "b", 1, 2)));
     }
 
     @Test
     void aRequestKnownNotExecutedIsPermittedAtAllEndpoints() {
         PendingRequest request = requestAfterAttempt(CELL_CLASS, AttemptResult.REJECTED);
-        assertTrue(rules.permits(request, PolicyTestObjects.endpoint(settings, "b", 1, 2)));
+        assertTrue(rules.permitsAttemptAt(request, PolicyTestObjects.endpoint(settings, "b", 1, 2)));
     }
 
     @ParameterizedTest
--- a/src/test/java/loadbalancer/policy/statistics/LatencyStatisticsTest.java
+++ b/src/test/java/loadbalancer/policy/statistics/LatencyStatisticsTest.java
@@ -46,10 +46,10 @@
     void aMeanIsReliableFromSixteenResultsOn() {
         record(15, 1_000);
         assertFalse(statistics.isMeanReliable(0));
-        assertEquals(Double.MAX_VALUE, statistics.leastMeanUs(0));
+        assertEquals(Double.MAX_VALUE, statistics.lowestMeanUs(0));
         record(1, 1_000);
         assertTrue(statistics.isMeanReliable(0));
-        assertEquals(1_000, statistics.leastMeanUs(0), TOLERANCE_US);
+        assertEquals(1_000, statistics.lowestMeanUs(0), TOLERANCE_US);
     }
 
     @Test
@@ -57,14 +57,14 @@
         record(16, 1_000);
         record(1, 18_000);
         assertEquals(2_000, statistics.meanUs(0), TOLERANCE_US);
-        assertEquals(1_000.1, statistics.leastMeanUs(0), TOLERANCE_US);
+        assertEquals(1_000.1, statistics.lowestMeanUs(0), TOLERANCE_US);
     }
 
     @Test
     void theMinMeanFallsAtOnceWhenTheMeanFalls() {
         record(16, 1_000);
         record(1, 150);
-        assertEquals(950, statistics.leastMeanUs(0), TOLERANCE_US);
+        assertEquals(950, statistics.lowestMeanUs(0), TOLERANCE_US);
     }
 
     @Test
