--- a/src/main/java/loadbalancer/policy/model/PendingRequest.java
+++ b/src/main/java/loadbalancer/policy/model/PendingRequest.java
@@ -44,8 +44,8 @@
     }
 
     private static long latencyObjectiveUs(Request request, RequestClass requestClass) {
-        long stretchUs = (long) (requestClass.latencyObjectiveWorkFactor() * request.workUs());
-        return Math.min(requestClass.deadlineUs(), requestClass.latencyObjectiveUs() + stretchUs);
+        long extensionUs = (long) (requestClass.latencyObjectiveWorkFactor() * request.workUs());
+        return Math.min(requestClass.deadlineUs(), requestClass.latencyObjectiveUs() + extensionUs);
     }
 
     /** Returns the id by which the caller refers to the request. */
--- a/src/main/java/loadbalancer/policy/statistics/LatencyStatistics.java
+++ b/src/main/java/loadbalancer/policy/statistics/LatencyStatistics.java
@@ -8,8 +8,8 @@
     /** Share of a mean's window that results must fill before the mean is reliable; with fewer, it is mostly chance. */
     private static final double RELIABLE_WINDOW_SHARE = 0.5;
 
-    /** Growth of the minimum mean with each result, so that it adapts to a lasting change of the requests' work. */
-    private static final double MIN_MEAN_GROWTH_FACTOR = 1.0001;
+    /** Growth of the lowest mean with each result, so that it adapts to a lasting change of the requests' work. */
+    private static final double LOWEST_MEAN_GROWTH_FACTOR = 1.0001;
 
     /** Share of the mean above which a latency is slower than most: latencies are skewed, so their median is lower. */
     private static final double SLOW_MEAN_SHARE = 0.8;
@@ -35,7 +35,7 @@
         double gain = Math.max(MEAN_GAIN, 1.0 / resultCounts[classIndex]);
         meanUs[classIndex] += gain * (latencyUs - meanUs[classIndex]);
         lowestMeanUs[classIndex] = isMeanReliable(classIndex)
-                ? Math.min(lowestMeanUs[classIndex] * MIN_MEAN_GROWTH_FACTOR, meanUs[classIndex])
+                ? Math.min(lowestMeanUs[classIndex] * LOWEST_MEAN_GROWTH_FACTOR, meanUs[classIndex])
                 : Double.MAX_VALUE;
     }
 
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Returns the minimum of a class's mean since it became reliable, which grows slightly with each result;
+     * Returns the lowest value of a class's mean since it became reliable, which grows slightly with each result;
      * {@link Double#MAX_VALUE} while the mean is not reliable, and 0 before the first result.
      */
     public double lowestMeanUs(int classIndex) {
--- a/src/test/java/loadbalancer/policy/statistics/LatencyStatisticsTest.java
+++ b/src/test/java/loadbalancer/policy/statistics/LatencyStatisticsTest.java
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void theMinMeanRisesOnlyByItsGrowthFactorWhenTheMeanRises() {
+    void theLowestMeanRisesOnlyByItsGrowthFactorWhenTheMeanRises() {
         record(16, 1_000);
         record(1, 18_000);
         assertEquals(2_000, statistics.meanUs(0), TOLERANCE_US);
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void theMinMeanFallsAtOnceWhenTheMeanFalls() {
+    void theLowestMeanFallsAtOnceWhenTheMeanFalls() {
         record(16, 1_000);
         record(1, 150);
         assertEquals(950, statistics.lowestMeanUs(0), TOLERANCE_US);
