--- a/src/main/java/loadbalancer/policy/admission/ConcurrencyLimiter.java
+++ b/src/main/java/loadbalancer/policy/admission/ConcurrencyLimiter.java
@@ -125,7 +125,8 @@
     }
 
     private double initialLimit() {
-        return (settings.endpointsCacheKeys ? INITIAL_LIMIT_WITH_KEY_CACHES : INITIAL_LIMIT) / sharing.instancesPerEndpoint();
+        return (settings.endpointsCacheKeys ? INITIAL_LIMIT_WITH_KEY_CACHES : INITIAL_LIMIT)
+                / sharing.instancesPerEndpoint();
     }
 
     /**
--- a/src/main/java/loadbalancer/policy/admission/SlownessThreshold.java
+++ b/src/main/java/loadbalancer/policy/admission/SlownessThreshold.java
@@ -39,7 +39,8 @@
     /** Returns the latency, in microseconds, above which a response to {@code request} is slow. */
     double slowAboveUs(PendingRequest request) {
         double leastMeanUs = latencies.lowestMeanUs(request.classIndex());
-        boolean isTolerant = settings.endpointsCacheKeys || (sharing.isWidelyShared() && leastMeanUs < Double.MAX_VALUE);
+        boolean isTolerant =
+                settings.endpointsCacheKeys || (sharing.isWidelyShared() && leastMeanUs < Double.MAX_VALUE);
         double objectiveThresholdUs =
                 (isTolerant ? TOLERANT_OBJECTIVE_SHARE : OBJECTIVE_SHARE) * request.latencyObjectiveUs();
         if (settings.endpointsCacheKeys) {
--- a/src/main/java/loadbalancer/policy/health/OutlierDetector.java
+++ b/src/main/java/loadbalancer/policy/health/OutlierDetector.java
@@ -275,7 +275,8 @@
             return !overallHealth.isEjected()
                     && classHealth.isEjected()
                     && nowUs
-                            >= classHealth.probationAtUs() + NON_IDEMPOTENT_PROBATION_FACTOR * classHealth.ejectionDurationUs();
+                            >= classHealth.probationAtUs()
+                                    + NON_IDEMPOTENT_PROBATION_FACTOR * classHealth.ejectionDurationUs();
         }
         return (overallHealth.isEjected() && nowUs >= overallHealth.probationAtUs())
                 || (classHealth.isEjected() && nowUs >= classHealth.probationAtUs());
--- a/src/test/java/loadbalancer/policy/model/PendingRequestTest.java
+++ b/src/test/java/loadbalancer/policy/model/PendingRequestTest.java
@@ -32,7 +32,16 @@
     /** Adds a class whose latency objective is 200 ms plus twice the request's work, and returns its index. */
     private int addClassWithWorkDependentObjective() {
         settings.classes.add(new RequestClass(
-                "work-dependent", 200_000, 2, 1_000_000, 1, 0, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false));
+                "work-dependent",
+                200_000,
+                2,
+                1_000_000,
+                1,
+                0,
+                Idempotency.IDEMPOTENT,
+                DeduplicationScope.ALL,
+                0,
+                false));
         return settings.classes.size() - 1;
     }
 
@@ -61,14 +70,16 @@
     void theLatencyObjectiveGrowsWithTheWork() {
         assertEquals(
                 400_000,
-                requestWithRemaining(addClassWithWorkDependentObjective(), 3_000_000, 100_000).latencyObjectiveUs());
+                requestWithRemaining(addClassWithWorkDependentObjective(), 3_000_000, 100_000)
+                        .latencyObjectiveUs());
     }
 
     @Test
     void theLatencyObjectiveGrowsNoFurtherThanTheDeadlineOfTheClass() {
         assertEquals(
                 1_000_000,
-                requestWithRemaining(addClassWithWorkDependentObjective(), 3_000_000, 900_000).latencyObjectiveUs());
+                requestWithRemaining(addClassWithWorkDependentObjective(), 3_000_000, 900_000)
+                        .latencyObjectiveUs());
     }
 
     @Test
