--- a/src/test/java/loadbalancer/policy/discovery/DiscoveryCallSchedulerTest.java
+++ b/src/test/java/loadbalancer/policy/discovery/DiscoveryCallSchedulerTest.java
@@ -13,8 +13,8 @@
 
 /**
  * Simulates every sequence of call behaviors up to a length, in virtual time. Guards against a lease that does not
- * expire although calls keep failing, so that the proxy routes by an endpoint list whose changes count as notified, and
- * against a lease that is renewed too late once discovery serves calls again.
+ * expire although calls keep failing, so that the proxy still routes by the list when the grace of a missed change has
+ * ended, and against a lease that is renewed too late once discovery serves calls again.
  */
 @Timeout(240)
 class DiscoveryCallSchedulerTest {
@@ -62,7 +62,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, 5", "5, 6", "30, 5", "31, 5", "63, 5", "120, 6", "1024, 5"})
-    void leaseExpiresBeforeMissedChangesCountAndIsRenewedInTime(int instances, int maxLength) {
+    void leaseExpiresWithinTheGraceOfMissedChangesAndIsRenewedInTime(int instances, int maxLength) {
         int sequenceCount = checkSequences(
                         SchedulerFixture.timing(instances), SchedulerFixture.LONGEST_DELAY, maxLength)
                 + checkSequences(SchedulerFixture.timing(instances), SchedulerFixture.SHORTEST_DELAY, maxLength);
