--- a/src/main/java/loadbalancer/policy/admission/ConcurrencyLimiter.java
+++ b/src/main/java/loadbalancer/policy/admission/ConcurrencyLimiter.java
@@ -204,8 +204,8 @@
         double limitBefore = concurrency.limit();
         double slowAboveUs = slownessThreshold.slowAboveUs(request);
         boolean timedOut = outcome.result() == AttemptResult.TIMEOUT;
-        boolean noLaterAttemptAnswered = concurrency.newestRespondedAttemptStartedAtUs() <= attempt.startedAtUs();
-        if (outcome.result() == AttemptResult.OK || (timedOut && noLaterAttemptAnswered)) {
+        boolean noLaterAttemptHasResponse = concurrency.newestRespondedAttemptStartedAtUs() <= attempt.startedAtUs();
+        if (outcome.result() == AttemptResult.OK || (timedOut && noLaterAttemptHasResponse)) {
             double slowness = Math.min(MAX_SLOWNESS, outcome.latencyUs() / Math.max(1, slowAboveUs));
             concurrency.recordSlowness(slowness, TimelyResponseRate.GAIN);
         }
--- a/src/main/java/loadbalancer/policy/admission/RequestQueue.java
+++ b/src/main/java/loadbalancer/policy/admission/RequestQueue.java
@@ -13,7 +13,7 @@
 /**
  * The queue of requests that wait for an endpoint with capacity, ordered by descending priority and, for equal
  * priorities, by the time at which they were added. A request that cannot meet its latency objective any more gets a
- * lower priority; if late responses of its class have no weight, it is rejected or failed.
+ * lower priority. If the priority factor of its class for late requests is 0, it is rejected or failed instead.
  */
 public final class RequestQueue {
     /**
--- a/src/main/java/loadbalancer/policy/admission/SlownessThreshold.java
+++ b/src/main/java/loadbalancer/policy/admission/SlownessThreshold.java
@@ -24,7 +24,7 @@
     private static final double LOWEST_MEAN_MULTIPLE = 3;
 
     /** Factor of that multiple where many instances share an endpoint. */
-    private static final double SPARSE_MULTIPLE_FACTOR = 2;
+    private static final double WIDELY_SHARED_MULTIPLE_FACTOR = 2;
 
     private final LoadBalancerSettings settings;
     private final EndpointSharing sharing;
@@ -38,15 +38,15 @@
 
     /** Returns the latency, in microseconds, above which a response to {@code request} is slow. */
     double slowAboveUs(PendingRequest request) {
-        double leastMeanUs = latencies.lowestMeanUs(request.classIndex());
+        double lowestMeanUs = latencies.lowestMeanUs(request.classIndex());
         boolean isTolerant =
-                settings.endpointsCacheKeys || (sharing.isWidelyShared() && leastMeanUs < Double.MAX_VALUE);
+                settings.endpointsCacheKeys || (sharing.isWidelyShared() && lowestMeanUs < Double.MAX_VALUE);
         double objectiveThresholdUs =
                 (isTolerant ? TOLERANT_OBJECTIVE_SHARE : OBJECTIVE_SHARE) * request.latencyObjectiveUs();
         if (settings.endpointsCacheKeys) {
             return objectiveThresholdUs;
         }
-        double multipleFactor = sharing.isWidelyShared() ? SPARSE_MULTIPLE_FACTOR : 1;
-        return Math.min(objectiveThresholdUs, multipleFactor * LOWEST_MEAN_MULTIPLE * leastMeanUs);
+        double multipleFactor = sharing.isWidelyShared() ? WIDELY_SHARED_MULTIPLE_FACTOR : 1;
+        return Math.min(objectiveThresholdUs, multipleFactor * LOWEST_MEAN_MULTIPLE * lowestMeanUs);
     }
 }
