--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
@@ -53,20 +53,20 @@
 public final class ProxyNode implements LoadBalancerActions {
     private static final byte[] NO_BODY = {};
     /** Attempts to open the listener, for two seconds in all, and the time between two of them. */
-    private static final int MOST_LISTEN_ATTEMPTS = 40;
+    private static final int MAX_LISTEN_ATTEMPTS = 40;
 
     private static final long LISTEN_RETRY_MS = 50;
     /**
      * A node without a lease is not ready for clients, but for so long only: where discovery answers nobody, a refusal
      * from each node is better than no node at all.
      */
-    private static final long LONGEST_UNREADY_MS = 4_500;
+    private static final long MAX_UNREADY_MS = 4_500;
 
     private final ProxyConfiguration config;
     private final EventLoop loop;
     private final Clock clock;
     private final UpstreamConnectionPool pool;
-    private final DownstreamServer clients;
+    private final DownstreamServer downstream;
     private final DiscoveryClient discovery;
     private final LoadBalancer loadBalancer;
 
@@ -74,16 +74,16 @@
     /** The ids of those that are owed an answer. A second one of the same id could have its effect twice. */
     private final Map<String, InFlightRequest> openRequests = new HashMap<>();
 
-    private long lastId;
+    private long lastRequestId;
     private final PolicyEventQueue events;
     /** What is still in flight then would be lost with the process. */
-    private long lastAnswerAtUs = Long.MAX_VALUE;
+    private long shutdownResponseDeadlineUs = Long.MAX_VALUE;
 
-    private boolean ready;
+    private boolean isReady;
 
     private Future<?> housekeeping;
-    private Future<?> wake;
-    private long wakeAtUs;
+    private Future<?> timer;
+    private long timerAtUs;
 
     ProxyNode(ProxyConfiguration config, EventLoop loop) {
         this(config, loop, ProxyNodeDependencies.standard(config));
@@ -103,7 +103,7 @@
                 config.upstreamIdleTimeoutUs(),
                 dependencies.connectionReuseDelayUs(),
                 dependencies.upstreamChannels());
-        clients = new DownstreamServer(
+        downstream = new DownstreamServer(
                 loop,
                 clock,
                 new ClientRequestParser(config.settings()),
@@ -113,21 +113,21 @@
                     @Override
                     public void onRequest(ClientConnection client, ClientRequest request, long arrivedAtUs)
                             throws BadRequestException {
-                        take(client, request, arrivedAtUs);
+                        acceptRequest(client, request, arrivedAtUs);
                     }
 
                     @Override
                     public boolean isReady() {
-                        return ready;
+                        return isReady;
                     }
 
                     @Override
                     public void onClientDisconnected(ClientRequest request) {
                         InFlightRequest gone = openRequests.get(request.transactionId());
-                        end(gone);
+                        endRequest(gone);
                         events.add(gone, () -> {
                             loadBalancer.onClientDisconnected(clock.nowUs(), gone.id);
-                            forgetIfOver(gone);
+                            removeIfCompleted(gone);
                         });
                     }
                 });
@@ -140,12 +140,13 @@
                 new DiscoveryClient.Listener() {
                     @Override
                     public void onEndpointList(EndpointList list) {
-                        list(list, list.isComplete() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES);
+                        notifyEndpointList(
+                                list, list.isComplete() ? EndpointListKind.COMPLETE : EndpointListKind.CHANGES);
                     }
 
                     @Override
                     public void onLeaseChanged(long untilUs) {
-                        lease(untilUs);
+                        notifyLeaseChanged(untilUs);
                     }
                 },
                 dependencies.discoveryChannels());
@@ -168,7 +169,7 @@
         logStart(config);
         EventLoop loop = newLoop();
         ProxyNode node = new ProxyNode(config, loop);
-        ConfigurationReloader.onHangUp(env, node);
+        ConfigurationReloader.installSignalHandler(env, node);
         // Before it listens: a node that was told to end just then would end with what it has taken.
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
@@ -183,8 +184,8 @@
                         },
                         "drain"));
         // Calls to discovery may wait their turn: the first goes out while the process still warms up.
-        node.startDiscovery();
-        StartupWarmUp.play(config, loop);
+        node.startWithoutListening();
+        StartupWarmUp.run(config, loop);
         Future<SocketAddress> listening = node.listen().awaitUninterruptibly();
         if (!listening.isSuccess()) {
             System.err.println("loadbalancer: listen " + config.listen() + ": "
@@ -212,25 +213,25 @@
 
     /** Begins to serve; the future is done once clients can connect, with where they can. */
     public Future<SocketAddress> start() {
-        startDiscovery();
+        startWithoutListening();
         return listen();
     }
 
     /** Takes up the list that is known and asks for what has changed since. */
-    void startDiscovery() {
+    void startWithoutListening() {
         loop.execute(() -> {
             if (config.discovery() == null) {
                 // Nothing can change the list: it holds for good.
-                ready = true;
+                isReady = true;
             } else {
-                lease(EndpointListLease.NOT_GRANTED);
-                loop.schedule(() -> ready = true, LONGEST_UNREADY_MS, TimeUnit.MILLISECONDS);
+                notifyLeaseChanged(EndpointListLease.NOT_GRANTED);
+                loop.schedule(() -> isReady = true, MAX_UNREADY_MS, TimeUnit.MILLISECONDS);
             }
-            list(config.cachedEndpoints(), EndpointListKind.CACHED);
+            notifyEndpointList(config.cachedEndpoints(), EndpointListKind.CACHED);
             housekeeping = loop.scheduleAtFixedRate(
                     () -> {
                         pool.closeExpired();
-                        clients.closeExpired();
+                        downstream.closeExpired();
                     },
                     ConnectionLimits.HOUSEKEEPING_INTERVAL_MS,
                     ConnectionLimits.HOUSEKEEPING_INTERVAL_MS,
@@ -245,17 +246,17 @@
     /** Lets clients connect. The front waits for more, which is that the node is ready. */
     Future<SocketAddress> listen() {
         Promise<SocketAddress> listening = loop.newPromise();
-        loop.execute(() -> listen(listening, MOST_LISTEN_ATTEMPTS));
+        loop.execute(() -> listen(listening, MAX_LISTEN_ATTEMPTS));
         return listening;
     }
 
     /** Descriptors of the warm-up come free a moment later, and so may an address that a predecessor held. */
     private void listen(Promise<SocketAddress> listening, int attemptsLeft) {
-        if (clients.isDraining()) {
+        if (downstream.isDraining()) {
             listening.setFailure(new IllegalStateException("told to end before"));
             return;
         }
-        clients.listen(config.listen()).addListener((ChannelFuture opened) -> {
+        downstream.listen(config.listen()).addListener((ChannelFuture opened) -> {
             if (opened.isSuccess()) {
                 listening.setSuccess(opened.channel().localAddress());
             } else if (attemptsLeft > 1) {
@@ -281,23 +282,23 @@
     }
 
     /** Whether requests may be sent. To be called on the event loop. */
-    boolean mayRoute() {
+    boolean isLeaseHeld() {
         return pool.isLeaseHeld();
     }
 
     /** Says no to the front, serves what comes in the time left, and calls back once nothing is held. */
     public void beginGracefulShutdown(ShutdownSchedule schedule, Runnable whenEmpty) {
         loop.execute(() -> {
-            lastAnswerAtUs = clock.nowUs() + schedule.lastAnswerUs();
-            clients.drain(schedule.lastRequestUs(), whenEmpty);
-            loop.schedule(this::failInFlight, schedule.lastAnswerUs(), TimeUnit.MICROSECONDS);
+            shutdownResponseDeadlineUs = clock.nowUs() + schedule.responseDeadlineUs();
+            downstream.drain(schedule.servingTimeUs(), whenEmpty);
+            loop.schedule(this::failInFlight, schedule.responseDeadlineUs(), TimeUnit.MICROSECONDS);
         });
     }
 
     /** The process is about to end: who has asked before that was known, and would wait past it, is told. */
     private void failInFlight() {
         for (InFlightRequest left : List.copyOf(inFlight.values())) {
-            if (!left.ended) {
+            if (!left.isEnded) {
                 abandon(left, HttpResponseStatus.GATEWAY_TIMEOUT);
             }
         }
@@ -305,30 +306,30 @@
 
     /** Answers without the module, which is told that nothing more is owed. */
     private void abandon(InFlightRequest request, HttpResponseStatus status) {
-        answer(request, status, NO_BODY, 0);
+        respond(request, status, NO_BODY, 0);
         events.add(null, () -> loadBalancer.onClientDisconnected(clock.nowUs(), request.id));
     }
 
     /** To be called on the event loop. */
     ProxyNodeCounts counts() {
-        return new ProxyNodeCounts(inFlight.size(), pool.exchanges(), clients.connectionCount(), pool.descriptors());
+        return new ProxyNodeCounts(inFlight.size(), pool.exchanges(), downstream.connectionCount(), pool.descriptors());
     }
 
     /** Lets go of all sockets and timers at once. */
     void close() {
         loop.execute(() -> {
             housekeeping.cancel(false);
-            if (wake != null) {
-                wake.cancel(false);
+            if (timer != null) {
+                timer.cancel(false);
             }
-            clients.close();
+            downstream.close();
             pool.close();
         });
     }
 
     // ---------------------------------------------------------------- events for the module
 
-    private void list(EndpointList list, EndpointListKind kind) {
+    private void notifyEndpointList(EndpointList list, EndpointListKind kind) {
         events.add(null, () -> {
             // The pool first, as the module sends to new servers at once. What it frees from a draining
             // server is told after the list: the module would else send it there again.
@@ -343,23 +344,24 @@
     }
 
     /** In order with the lists, as a lease holds for the list that came before it. */
-    private void lease(long untilUs) {
+    private void notifyLeaseChanged(long untilUs) {
         events.add(null, () -> {
             pool.setLeaseEnd(untilUs);
-            ready |= pool.isLeaseHeld();
+            isReady |= pool.isLeaseHeld();
             loadBalancer.onLeaseChanged(clock.nowUs(), untilUs);
         });
     }
 
-    private void take(ClientConnection client, ClientRequest request, long arrivedAtUs) throws BadRequestException {
+    private void acceptRequest(ClientConnection client, ClientRequest request, long arrivedAtUs)
+            throws BadRequestException {
         if (openRequests.containsKey(request.transactionId())) {
             throw new BadRequestException(
                     HttpProtocol.TRANSACTION_ID_HEADER, request.transactionId(), "is that of an open request");
         }
         // The client counts from when it sent the request, not from when earlier ones on its connection are
         // answered.
-        long deadlineUs = Math.min(arrivedAtUs + request.remainingUs(), lastAnswerAtUs);
-        InFlightRequest taken = new InFlightRequest(++lastId, request, client, deadlineUs);
+        long deadlineUs = Math.min(arrivedAtUs + request.remainingUs(), shutdownResponseDeadlineUs);
+        InFlightRequest taken = new InFlightRequest(++lastRequestId, request, client, deadlineUs);
         openRequests.put(request.transactionId(), taken);
         inFlight.put(taken.id, taken);
         events.add(
@@ -378,47 +380,47 @@
 
     // ---------------------------------------------------------------- attempts
 
-    private void attemptEnded(Attempt attempt, AttemptResult result, byte[] body) {
+    private void onAttemptEnded(Attempt attempt, AttemptResult result, byte[] body) {
         InFlightRequest request = attempt.request();
         EventLog.requestEvent(() -> LogEvent.named("attempt_ended")
                 .with("request", request.request.transactionId())
                 .with("attempt", attempt.number())
-                .with("server", attempt.serverId())
+                .with("server", attempt.endpointId())
                 .with("result", result)
-                .with("after_us", clock.nowUs() - attempt.sentAtUs()));
-        if (result == AttemptResult.OK && !request.ended) {
-            answer(request, HttpResponseStatus.OK, body, 0);
+                .with("after_us", clock.nowUs() - attempt.startedAtUs()));
+        if (result == AttemptResult.OK && !request.isEnded) {
+            respond(request, HttpResponseStatus.OK, body, 0);
         }
         events.add(request, () -> {
-            request.outstanding--;
-            forgetIfOver(request);
+            request.outstandingAttempts--;
+            removeIfCompleted(request);
             loadBalancer.onAttemptOutcome(
                     clock.nowUs(),
                     new AttemptOutcome(
                             request.id,
                             attempt.number(),
                             result,
-                            clock.nowUs() - attempt.sentAtUs(),
-                            request.ended,
+                            clock.nowUs() - attempt.startedAtUs(),
+                            request.isEnded,
                             null));
         });
     }
 
-    private void forgetIfOver(InFlightRequest request) {
-        if (request.ended && request.outstanding == 0) {
+    private void removeIfCompleted(InFlightRequest request) {
+        if (request.isEnded && request.outstandingAttempts == 0) {
             inFlight.remove(request.id);
         }
     }
 
-    private void end(InFlightRequest request) {
-        request.ended = true;
+    private void endRequest(InFlightRequest request) {
+        request.isEnded = true;
         openRequests.remove(request.request.transactionId());
-        request.attempts.forEach(Attempt::withdraw);
+        request.attempts.forEach(Attempt::cancelIfNotSent);
     }
 
     /** The one final answer; nothing is sent for the request after it. */
-    private void answer(InFlightRequest request, HttpResponseStatus status, byte[] body, long retryAfterUs) {
-        if (request.ended) {
+    private void respond(InFlightRequest request, HttpResponseStatus status, byte[] body, long retryAfterUs) {
+        if (request.isEnded) {
             return;
         }
         EventLog.requestEvent(() -> LogEvent.named("answer")
@@ -427,9 +429,9 @@
                 .with("attempts", request.attempts.size())
                 .with("left_us", request.deadlineUs - clock.nowUs())
                 .with("retry_after_us", retryAfterUs));
-        end(request);
+        endRequest(request);
         request.client.respond(status, body, retryAfterUs);
-        forgetIfOver(request);
+        removeIfCompleted(request);
     }
 
     // ---------------------------------------------------------------- what the module asks for
@@ -438,9 +440,9 @@
     public void startAttempt(long requestId, String serverId, long untilUs) {
         InFlightRequest request = inFlight.get(requestId);
         long until = untilUs == 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs);
-        Attempt attempt = new Attempt(request, serverId, until, config.settings(), pool, clock, this::attemptEnded);
+        Attempt attempt = new Attempt(request, serverId, until, config.settings(), pool, clock, this::onAttemptEnded);
         request.attempts.add(attempt);
-        attempt.begin(loop);
+        attempt.start(loop);
     }
 
     @Override
@@ -464,32 +466,32 @@
     private void finish(long requestId, HttpResponseStatus status, long retryAfterUs) {
         InFlightRequest request = inFlight.get(requestId);
         if (request != null) {
-            answer(request, status, NO_BODY, retryAfterUs);
+            respond(request, status, NO_BODY, retryAfterUs);
         }
     }
 
     /** The module keeps one wake-up pending at most: an earlier one takes the place of a later. */
     @Override
     public void setTimer(long atUs) {
-        if (wake != null) {
-            wake.cancel(false);
+        if (timer != null) {
+            timer.cancel(false);
         }
-        wakeAtUs = atUs;
-        scheduleWake();
+        timerAtUs = atUs;
+        scheduleTimer();
     }
 
-    private void scheduleWake() {
-        wake = loop.schedule(
+    private void scheduleTimer() {
+        timer = loop.schedule(
                 () -> {
                     long now = clock.nowUs();
-                    if (now < wakeAtUs) {
-                        scheduleWake();
+                    if (now < timerAtUs) {
+                        scheduleTimer();
                         return;
                     }
-                    wake = null;
+                    timer = null;
                     events.add(null, () -> loadBalancer.onTimer(clock.nowUs()));
                 },
-                Math.max(0, wakeAtUs - clock.nowUs()),
+                Math.max(0, timerAtUs - clock.nowUs()),
                 TimeUnit.MICROSECONDS);
     }
 
--- a/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
@@ -53,41 +53,41 @@
      * loaded. A node that begins cold under full load uses up its share of the core: its turns last 100 ms
      * and more, and clients that give up and ask again make it more work. With half as many a node alone was
      * ready half a second sooner and lost more than that by it. */
-    static final int REQUESTS = 250;
+    static final int MAX_REQUESTS = 250;
     /** What comes to a node in this time is enough: where few requests come, cold code may meet them. Nodes
      * that were killed together are missed for as long as this takes them. */
-    private static final double SECONDS = 1;
+    private static final double SECONDS_OF_EXPECTED_TRAFFIC = 1;
     /** Each class of requests some times, so that all code for them is loaded at least. */
-    private static final int LEAST_REQUESTS = 40;
+    private static final int MIN_REQUESTS = 40;
 
-    private static final int CLIENTS = 4;
+    private static final int CLIENT_CONNECTIONS = 4;
     /** A start must not wait for longer, however little CPU there is. On half a core that another node shares
      * 500 ms were over after 60 requests. Harm: a restart takes so much longer. */
-    private static final long MOST_MS = 2_000;
+    private static final long MAX_DURATION_MS = 2_000;
 
     private final EventLoop loop;
     private final List<RequestClass> classes;
-    private final int requests;
-    private final CountDownLatch left;
+    private final int requestCount;
+    private final CountDownLatch remainingRequests;
 
-    private long asked;
-    private volatile boolean turnedDown;
+    private long sentRequests;
+    private volatile boolean isRequestRefused;
 
     private StartupWarmUp(EventLoop loop, LoadBalancerSettings settings) {
         this.loop = loop;
         classes = settings.classes;
-        requests = requests(settings);
-        left = new CountDownLatch(requests);
+        requestCount = requestCount(settings);
+        remainingRequests = new CountDownLatch(requestCount);
     }
 
     /** How many to serve, by what tenants may ask of this node; the most where any may ask without limit. */
-    static int requests(LoadBalancerSettings settings) {
+    static int requestCount(LoadBalancerSettings settings) {
         if (settings.tenants.stream().anyMatch(tenant -> tenant.quotaPerSecond() <= 0)) {
-            return REQUESTS;
+            return MAX_REQUESTS;
         }
         double perS =
                 settings.tenants.stream().mapToDouble(Tenant::quotaPerSecond).sum() / settings.instances;
-        return (int) Math.max(LEAST_REQUESTS, Math.min(REQUESTS, SECONDS * perS));
+        return (int) Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, SECONDS_OF_EXPECTED_TRAFFIC * perS));
     }
 
     /**
@@ -95,11 +95,11 @@
      *
      * @return how many were served; 0 if any was turned down, as then it was something else that got warm
      */
-    static long play(ProxyConfiguration config, EventLoop loop) {
-        return new StartupWarmUp(loop, config.settings()).play(config);
+    static long run(ProxyConfiguration config, EventLoop loop) {
+        return new StartupWarmUp(loop, config.settings()).run(config);
     }
 
-    private long play(ProxyConfiguration config) {
+    private long run(ProxyConfiguration config) {
         Channel server = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -118,17 +118,17 @@
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, HeapBuffers.ALLOCATOR)
                 .handler(pipeline(false));
-        for (int i = 0; i < CLIENTS; i++) {
+        for (int i = 0; i < CLIENT_CONNECTIONS; i++) {
             client.connect(listening);
         }
         try {
-            left.await(MOST_MS, TimeUnit.MILLISECONDS);
+            remainingRequests.await(MAX_DURATION_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         node.close();
         server.close();
-        return turnedDown ? 0 : requests - left.getCount();
+        return isRequestRefused ? 0 : requestCount - remainingRequests.getCount();
     }
 
     private ChannelInitializer<SocketChannel> pipeline(boolean server) {
@@ -141,13 +141,13 @@
                                 codec,
                                 new HttpObjectAggregator(ConnectionLimits.MAX_REQUEST_BODY_BYTES),
                                 server ? new WarmUpServer() : new WarmUpClient(),
-                                new Ending());
+                                new CloseOnExceptionHandler());
             }
         };
     }
 
     /** The node closes with requests under way: what resets of them reach the far sides is no fault. */
-    static final class Ending extends ChannelInboundHandlerAdapter {
+    static final class CloseOnExceptionHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             context.close();
@@ -169,23 +169,23 @@
     private final class WarmUpClient extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            ask(context);
+            sendRequest(context);
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
             if (response.status().code() != HttpResponseStatus.OK.code()) {
-                turnedDown = true;
+                isRequestRefused = true;
                 return;
             }
-            left.countDown();
-            if (left.getCount() > 0) {
-                ask(context);
+            remainingRequests.countDown();
+            if (remainingRequests.getCount() > 0) {
+                sendRequest(context);
             }
         }
 
-        private void ask(ChannelHandlerContext context) {
-            RequestClass next = classes.get((int) (left.getCount() % classes.size()));
+        private void sendRequest(ChannelHandlerContext context) {
+            RequestClass next = classes.get((int) (remainingRequests.getCount() % classes.size()));
             boolean safe = next.idempotency() == Idempotency.IDEMPOTENT;
             FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
@@ -194,7 +194,7 @@
                     Unpooled.wrappedBuffer(new byte[safe ? 0 : 64]));
             request.headers()
                     .set(HttpHeaderNames.HOST, "rehearsal")
-                    .set("X-Txn", Long.toString(++asked))
+                    .set("X-Txn", Long.toString(++sentRequests))
                     .set("X-Lane", next.name())
                     .set("X-Remaining", "1000m")
                     .set(HttpHeaderNames.CONTENT_LENGTH, safe ? 0 : 64);
--- a/src/main/java/loadbalancer/proxy/routing/Attempt.java
+++ b/src/main/java/loadbalancer/proxy/routing/Attempt.java
@@ -30,15 +30,15 @@
 
     private final InFlightRequest request;
     private final int number;
-    private final String serverId;
-    private final long untilUs;
-    private final long sentAtUs;
+    private final String endpointId;
+    private final long deadlineUs;
+    private final long startedAtUs;
     private final LoadBalancerSettings settings;
     private final UpstreamConnectionPool pool;
     private final Clock clock;
     private final Listener listener;
     private Future<?> expiry;
-    private boolean over;
+    private boolean isCompleted;
 
     public Attempt(
             InFlightRequest of,
@@ -50,13 +50,13 @@
             Listener listener) {
         this.request = of;
         this.number = of.attempts.size();
-        this.serverId = serverId;
-        this.untilUs = untilUs;
+        this.endpointId = serverId;
+        this.deadlineUs = untilUs;
         this.settings = settings;
         this.pool = pool;
         this.clock = clock;
         this.listener = listener;
-        sentAtUs = clock.nowUs();
+        startedAtUs = clock.nowUs();
     }
 
     public InFlightRequest request() {
@@ -67,12 +67,12 @@
         return number;
     }
 
-    public String serverId() {
-        return serverId;
+    public String endpointId() {
+        return endpointId;
     }
 
-    public long sentAtUs() {
-        return sentAtUs;
+    public long startedAtUs() {
+        return startedAtUs;
     }
 
     @Override
@@ -87,7 +87,7 @@
                 .set(HttpHeaderNames.HOST, "backend.local")
                 .set("X-Txn", clientRequest.transactionId())
                 .set("X-Lane", settings.classes.get(clientRequest.classIndex()).name())
-                .set("X-Remaining", Math.max(1, untilUs - clock.nowUs()) + "u");
+                .set("X-Remaining", Math.max(1, deadlineUs - clock.nowUs()) + "u");
         if (clientRequest.idempotencyKey() != null) {
             message.headers().set("Idempotency-Key", clientRequest.idempotencyKey());
         }
@@ -100,45 +100,45 @@
     /** Not if it is answered or its client has left, whether the module has been notified of that or not. */
     @Override
     public boolean isActive() {
-        return !request.ended && clock.nowUs() < untilUs && request.client.isConnected();
+        return !request.isEnded && clock.nowUs() < deadlineUs && request.client.isConnected();
     }
 
     /** Sends it, unless it may not be sent at all. */
-    public void begin(EventLoop loop) {
-        request.outstanding++;
-        if (untilUs <= sentAtUs || number >= settings.maxAttempts) {
+    public void start(EventLoop loop) {
+        request.outstandingAttempts++;
+        if (deadlineUs <= startedAtUs || number >= settings.maxAttempts) {
             onCompleted(AttemptResult.NOT_SENT, NO_BODY);
             return;
         }
-        expiry = loop.schedule(this::expire, untilUs - sentAtUs, TimeUnit.MICROSECONDS);
-        pool.start(serverId, this);
+        expiry = loop.schedule(this::expire, deadlineUs - startedAtUs, TimeUnit.MICROSECONDS);
+        pool.start(endpointId, this);
     }
 
     private void expire() {
         // What never left for want of a connection is known not to have run.
-        onCompleted(pool.abandon(serverId, this) ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, NO_BODY);
+        onCompleted(pool.abandon(endpointId, this) ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, NO_BODY);
     }
 
     /** The request is over: what has not been sent whole must not run any more. */
-    public void withdraw() {
-        if (!over && pool.withdraw(serverId, this)) {
+    public void cancelIfNotSent() {
+        if (!isCompleted && pool.withdraw(endpointId, this)) {
             onCompleted(AttemptResult.NOT_SENT, NO_BODY);
         }
     }
 
     public void cancel() {
-        if (!over) {
-            pool.abandon(serverId, this);
+        if (!isCompleted) {
+            pool.abandon(endpointId, this);
             onCompleted(AttemptResult.CANCELLED, NO_BODY);
         }
     }
 
     @Override
     public void onCompleted(AttemptResult result, byte[] body) {
-        if (over) {
+        if (isCompleted) {
             return;
         }
-        over = true;
+        isCompleted = true;
         if (expiry != null) {
             expiry.cancel(false);
         }
--- a/src/main/java/loadbalancer/proxy/routing/InFlightRequest.java
+++ b/src/main/java/loadbalancer/proxy/routing/InFlightRequest.java
@@ -14,9 +14,9 @@
     public final long deadlineUs;
     public final List<Attempt> attempts = new ArrayList<>(1);
     /** Attempts whose end the module has not been notified of. */
-    public int outstanding;
+    public int outstandingAttempts;
     /** Whether it has its final response, or its client has left. */
-    public boolean ended;
+    public boolean isEnded;
 
     public InFlightRequest(long id, ClientRequest request, ClientConnection client, long deadlineUs) {
         this.id = id;
--- a/src/main/java/loadbalancer/proxy/routing/PolicyEventQueue.java
+++ b/src/main/java/loadbalancer/proxy/routing/PolicyEventQueue.java
@@ -16,7 +16,7 @@
  */
 public final class PolicyEventQueue {
     private final EventLoop loop;
-    private final Consumer<InFlightRequest> onDefect;
+    private final Consumer<InFlightRequest> onFailure;
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private boolean isScheduled;
 
@@ -26,7 +26,7 @@
     /** The consumer is given each unended request whose event met a defect. */
     public PolicyEventQueue(EventLoop loop, Consumer<InFlightRequest> onDefect) {
         this.loop = loop;
-        this.onDefect = onDefect;
+        this.onFailure = onDefect;
     }
 
     public void add(InFlightRequest about, Runnable notification) {
@@ -37,15 +37,15 @@
     private void schedule() {
         if (!isScheduled) {
             isScheduled = true;
-            loop.execute(this::handOver);
+            loop.execute(this::deliver);
         }
     }
 
-    private void handOver() {
+    private void deliver() {
         try {
             Event event;
             while ((event = events.poll()) != null) {
-                handOver(event);
+                deliver(event);
             }
         } finally {
             isScheduled = false;
@@ -56,15 +56,15 @@
         }
     }
 
-    private void handOver(Event event) {
+    private void deliver(Event event) {
         try {
             event.notification.run();
         } catch (RuntimeException | Error e) {
             // A defect met by one request, or memory that ran out on it, must neither end the node nor leave it
             // without a response.
             EventLog.error("event", e);
-            if (event.about != null && !event.about.ended) {
-                onDefect.accept(event.about);
+            if (event.about != null && !event.about.isEnded) {
+                onFailure.accept(event.about);
             }
         }
     }
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -25,7 +25,7 @@
 
     @Test
     void nextWatchRequestsChangesAfterTheLastVersion() throws Exception {
-        try (ProxyFixture proxy = ProxyFixture.silent()) {
+        try (ProxyFixture proxy = ProxyFixture.withSilentDiscovery()) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             assertEquals(
                     "/discovery/hosts?watch=1&after=41",
@@ -48,7 +48,7 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void listOfALowerVersionIsDroppedAndTheCompleteListIsRequested(boolean isComplete) throws Exception {
-        try (ProxyFixture proxy = ProxyFixture.silent()) {
+        try (ProxyFixture proxy = ProxyFixture.withSilentDiscovery()) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             ScriptedHttpServer.next(proxy.discovery.requests);
             ScriptedHttpServer.Peer peer = ScriptedHttpServer.next(proxy.discovery.peers);
@@ -75,7 +75,7 @@
 
     @Test
     void heartbeatAsTheFirstMessageConfirmsTheCachedList() throws Exception {
-        try (ProxyFixture proxy = ProxyFixture.silent()) {
+        try (ProxyFixture proxy = ProxyFixture.withSilentDiscovery()) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             ScriptedHttpServer.next(proxy.discovery.peers)
                     .write(ProxyFixture.chunk("\n")
@@ -96,7 +96,7 @@
 
     @Test
     void unresponsiveCallIsHedgedAndClosed() throws Exception {
-        try (ProxyFixture proxy = ProxyFixture.silent()) {
+        try (ProxyFixture proxy = ProxyFixture.withSilentDiscovery()) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, SHORT_TIMING);
             assertFurtherCallsAreOpenedAndOneIsClosed(proxy);
             assertTrue(recorded.events.isEmpty());
@@ -106,7 +106,7 @@
     @Test
     void callWithBytesButWithoutAMessageIsUnresponsive() throws Exception {
         try (ProxyFixture proxy = new ProxyFixture(new ScriptedHttpServer((request, peer) -> {
-            peer.write(ProxyFixture.watchHead());
+            peer.write(ProxyFixture.watchResponseHead());
             // Bytes of an incomplete object do not count as a message.
             peer.write(ProxyFixture.chunk("{\"rev\":"));
             while (true) {
@@ -123,7 +123,7 @@
     void unresponsiveWatchStaysOpenUntilAnotherCallHasAMessage() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (ProxyFixture proxy = new ProxyFixture(new ScriptedHttpServer((request, peer) -> {
-            peer.write(ProxyFixture.watchHead());
+            peer.write(ProxyFixture.watchResponseHead());
             if (calls.getAndIncrement() == 0) {
                 peer.write(ProxyFixture.chunk(ProxyFixture.list(42, false, RecordedDiscovery.ENTRY) + "\n"));
             }
@@ -165,11 +165,11 @@
                 ScriptedHttpServer discovery = new ScriptedHttpServer((request, peer) -> peer.write(
                         calls.getAndIncrement() == 0
                                 ? HttpMessages.answer("503 Busy", "", "")
-                                : ProxyFixture.watchHead()
+                                : ProxyFixture.watchResponseHead()
                                         + ProxyFixture.chunk(
                                                 ProxyFixture.list(2, true, "s0=" + upstream.endpoint() + "=Ready")
                                                         + "\n")));
-                ProxyFixture proxy = new ProxyFixture(discovery).startKnowing(ProxyFixture.list(1, true))) {
+                ProxyFixture proxy = new ProxyFixture(discovery).startWithCachedList(ProxyFixture.list(1, true))) {
             assertEquals(
                     200, proxy.ask(HttpMessages.page("/api/p", "t", "5000m")).status());
             assertEquals(2, calls.get());
@@ -178,9 +178,10 @@
 
     @Test
     void completeListIsRequestedFromTheNewAddressOfDiscoveryWithoutAFailedCall() throws Exception {
-        try (ProxyFixture proxy = ProxyFixture.silent();
-                ScriptedHttpServer moved = new ScriptedHttpServer((request, peer) -> peer.write(ProxyFixture.watchHead()
-                        + ProxyFixture.chunk(ProxyFixture.list(7, true, RecordedDiscovery.ENTRY) + "\n")))) {
+        try (ProxyFixture proxy = ProxyFixture.withSilentDiscovery();
+                ScriptedHttpServer moved =
+                        new ScriptedHttpServer((request, peer) -> peer.write(ProxyFixture.watchResponseHead()
+                                + ProxyFixture.chunk(ProxyFixture.list(7, true, RecordedDiscovery.ENTRY) + "\n")))) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             ScriptedHttpServer.next(proxy.discovery.requests);
             InetSocketAddress newAddress = ProxyConfiguration.parseAddress("discovery", moved.endpoint());
@@ -208,7 +209,7 @@
                 ScriptedHttpServer ready = ScriptedHttpServer.serving("ready");
                 ScriptedHttpServer agent = new ScriptedHttpServer((request, peer) -> {
                     if (request.path().endsWith("after=1")) {
-                        peer.write(ProxyFixture.watchHead()
+                        peer.write(ProxyFixture.watchResponseHead()
                                 + ProxyFixture.chunk(ProxyFixture.list(
                                                 2,
                                                 false,
@@ -216,12 +217,12 @@
                                                 "s1=" + ready.endpoint() + "=Ready")
                                         + "\n"));
                     } else {
-                        peer.write(ProxyFixture.watchHead() + ProxyFixture.chunk("\n"));
+                        peer.write(ProxyFixture.watchResponseHead() + ProxyFixture.chunk("\n"));
                     }
                 });
                 ProxyFixture proxy = new ProxyFixture(agent)) {
             proxy.settings.endpointListPolled = false;
-            proxy.startKnowing(ProxyFixture.list(1, true, "s0=" + draining.endpoint() + "=Ready"));
+            proxy.startWithCachedList(ProxyFixture.list(1, true, "s0=" + draining.endpoint() + "=Ready"));
             assertEquals(
                     "ready",
                     proxy.ask(HttpMessages.page("/api/p", "t", "5000m")).body());
@@ -245,10 +246,10 @@
     @Test
     void proxyIsNotReadyAndRejectsRequestsIfTheAgentIsNotReachable() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.silent()) {
+                ProxyFixture proxy = ProxyFixture.withSilentDiscovery()) {
             proxy.settings.endpointListPolled = false;
             proxy.discovery.stop();
-            proxy.startUnconfirmed(ProxyFixture.list(1, true, "s0=" + upstream.endpoint() + "=Ready"));
+            proxy.startWithoutLease(ProxyFixture.list(1, true, "s0=" + upstream.endpoint() + "=Ready"));
             assertEquals(503, proxy.ask(HttpMessages.page("/up", "t", "5000m")).status());
             HttpMessages.Message rejection = proxy.ask(HttpMessages.page("/api/p", "t", "5000m"));
             assertEquals(503, rejection.status());
--- a/src/test/java/loadbalancer/proxy/discovery/EndpointListFormatTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/EndpointListFormatTest.java
@@ -26,7 +26,7 @@
 
     @Test
     void listsMayBeSplitAtAnyByteAndIndented() throws Exception {
-        try (ProxyFixture proxy = ProxyFixture.silent()) {
+        try (ProxyFixture proxy = ProxyFixture.withSilentDiscovery()) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             ScriptedHttpServer.Peer peer = ScriptedHttpServer.next(proxy.discovery.peers);
             String indented = indented(ProxyFixture.list(42, true, RecordedDiscovery.ENTRY, "s1=10.0.0.2:80=Ready"));
@@ -46,7 +46,7 @@
 
     @Test
     void indentedListOf1024EndpointsIsParsedInPieces() throws Exception {
-        try (ProxyFixture proxy = ProxyFixture.silent()) {
+        try (ProxyFixture proxy = ProxyFixture.withSilentDiscovery()) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             ScriptedHttpServer.Peer peer = ScriptedHttpServer.next(proxy.discovery.peers);
             String[] entries = new String[1_024];
@@ -64,7 +64,7 @@
     @Test
     void objectThatExceedsTheMaximumLengthEndsTheWatch() throws Exception {
         try (ProxyFixture proxy = new ProxyFixture(new ScriptedHttpServer((request, peer) -> {
-            peer.write(ProxyFixture.watchHead() + ProxyFixture.chunk("{\"rev\":42,\"targets\":["));
+            peer.write(ProxyFixture.watchResponseHead() + ProxyFixture.chunk("{\"rev\":42,\"targets\":["));
             while (true) {
                 peer.write(ProxyFixture.chunk("{},".repeat(10_000)));
             }
@@ -88,7 +88,7 @@
                 "{\"rev\":42,\"all\":false,\"targets\":[{\"uid\":\"s\",\"endpoint\":\"x\",\"state\":\"Ready\"}]}",
             })
     void malformedListEndsTheWatch(String list) throws Exception {
-        try (ProxyFixture proxy = ProxyFixture.silent()) {
+        try (ProxyFixture proxy = ProxyFixture.withSilentDiscovery()) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             ScriptedHttpServer.next(proxy.discovery.peers).write(ProxyFixture.chunk(list + "\n"));
             assertEquals(RecordedDiscovery.CALL_ENDED, ScriptedHttpServer.next(recorded.events));
@@ -116,10 +116,10 @@
             AtomicInteger calls = new AtomicInteger();
             ScriptedHttpServer discovery = new ScriptedHttpServer((request, peer) -> {
                 calls.incrementAndGet();
-                peer.write(ProxyFixture.watchHead() + ProxyFixture.chunk(list + "\n"));
+                peer.write(ProxyFixture.watchResponseHead() + ProxyFixture.chunk(list + "\n"));
             });
             try (ProxyFixture proxy = new ProxyFixture(discovery)
-                    .startKnowing(ProxyFixture.list(
+                    .startWithCachedList(ProxyFixture.list(
                             1,
                             true,
                             "s0=" + draining.endpoint() + "=Ready",
@@ -142,7 +142,7 @@
 
     @Test
     void indentedListOfTheMaximumNumberOfEndpointsIsParsed() throws Exception {
-        try (ProxyFixture proxy = ProxyFixture.silent()) {
+        try (ProxyFixture proxy = ProxyFixture.withSilentDiscovery()) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             ScriptedHttpServer.Peer peer = ScriptedHttpServer.next(proxy.discovery.peers);
             String[] entries = new String[3_200];
--- a/src/test/java/loadbalancer/proxy/downstream/BacklogTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/BacklogTest.java
@@ -91,7 +91,7 @@
     @Test
     void requestOfADisconnectedClientIsNotForwarded() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket leaving = proxy.connect();
             assertEquals(
                     200, ProxyFixture.ask(leaving, HttpMessages.page("before")).status());
@@ -127,8 +127,8 @@
                     ScriptedHttpServer.await(bothRequests);
                     peer.write(HttpMessages.ok("x"));
                 });
-                ProxyFixture proxy = ProxyFixture.quiet()) {
-            proxy.module = actions -> withActionBeforeRequests(
+                ProxyFixture proxy = ProxyFixture.withHeartbeat()) {
+            proxy.loadBalancers = actions -> withActionBeforeRequests(
                     new ServiceQLoadBalancer(proxy.settings, 7, actions),
                     oneTimeAction(nextToDisconnect, Socket::close));
             proxy.start(upstream);
@@ -161,7 +161,7 @@
     @Test
     void queuedRequestIsNotForwardedIfItsClientDisconnectsWhenCapacityIsReleased() throws Exception {
         try (ScriptedHttpServer upstream = new ScriptedHttpServer((request, peer) -> {});
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             // These requests reach the initial concurrency limit of the endpoint, so that the next request is queued.
             for (int i = 0; i < 4; i++) {
                 ProxyFixture.write(proxy.connect(), HttpMessages.page("/api/p", "t" + i, "60000m"));
@@ -169,7 +169,7 @@
             }
             Socket leaving = proxy.connect();
             ProxyFixture.write(leaving, HttpMessages.page("/api/p", "left", "60000m"));
-            proxy.awaitRead();
+            proxy.awaitPriorInputRead();
             CountDownLatch release = blockEventLoop(proxy.loop);
             // The response is sent first, so that the proxy reads it before it detects the disconnect.
             ScriptedHttpServer.next(upstream.peers).write(HttpMessages.ok("x"));
@@ -187,17 +187,17 @@
     @ValueSource(booleans = {true, false})
     void requestIsNotForwardedIfItsClientDisconnectsDuringConnect(boolean cancellationEnabled) throws Exception {
         try (HangingListener hanging = new HangingListener();
-                ProxyFixture proxy = ProxyFixture.quiet()) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat()) {
             proxy.settings.cancellationEnabled = cancellationEnabled;
             proxy.settings.connectTimeoutUs = 20_000_000;
-            proxy.startKnowing(ProxyFixture.list(1, true, "s0=" + hanging.endpoint() + "=Ready"));
+            proxy.startWithCachedList(ProxyFixture.list(1, true, "s0=" + hanging.endpoint() + "=Ready"));
             Socket leaving = proxy.connect();
             ProxyFixture.write(leaving, HttpMessages.order("left", "60000m"));
-            proxy.awaitRead();
+            proxy.awaitPriorInputRead();
             leaving.close();
             Socket active = proxy.connect();
             ProxyFixture.write(active, HttpMessages.order("stays", "60000m"));
-            proxy.awaitRead();
+            proxy.awaitPriorInputRead();
             hanging.freeBacklog();
             Set<String> forwardedIds = new HashSet<>();
             while (!forwardedIds.contains("stays")) {
@@ -214,7 +214,7 @@
     @Test
     void unreadPipelinedRequestIsServedInAGracefulShutdown() throws Exception {
         try (ScriptedHttpServer upstream = new ScriptedHttpServer((request, peer) -> {});
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.page("first"));
             ScriptedHttpServer.next(upstream.requests);
@@ -243,8 +243,8 @@
         AtomicInteger iterations = new AtomicInteger();
         AtomicBoolean isIterationCounted = new AtomicBoolean();
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet()) {
-            proxy.module =
+                ProxyFixture proxy = ProxyFixture.withHeartbeat()) {
+            proxy.loadBalancers =
                     actions -> withActionBeforeRequests(new ServiceQLoadBalancer(proxy.settings, 7, actions), () -> {
                         if (isIterationCounted.compareAndSet(false, true)) {
                             iterations.incrementAndGet();
@@ -273,15 +273,15 @@
     void connectionWithAnUnreadRequestIsNotEvicted() throws Exception {
         AtomicReference<Socket> nextToSend = new AtomicReference<>();
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet()) {
-            proxy.module = actions -> withActionBeforeRequests(
+                ProxyFixture proxy = ProxyFixture.withHeartbeat()) {
+            proxy.loadBalancers = actions -> withActionBeforeRequests(
                     new ServiceQLoadBalancer(proxy.settings, 7, actions),
                     oneTimeAction(nextToSend, client -> ProxyFixture.write(client, HttpMessages.page("unread"))));
             proxy.start(upstream);
             Socket idle = proxy.connect();
             assertEquals(200, ProxyFixture.ask(idle, HttpMessages.page("first")).status());
             // Reaches the limit on idle connections: one more evicts the longest idle connection.
-            for (int i = 1; i < proxy.sockets / 6; i++) {
+            for (int i = 1; i < proxy.maxDescriptors / 6; i++) {
                 assertEquals(200, proxy.ask(HttpMessages.page("t" + i)).status());
             }
             nextToSend.set(idle);
--- a/src/test/java/loadbalancer/proxy/downstream/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ClientDisconnectTest.java
@@ -15,7 +15,7 @@
     @Test
     void attemptIsAbandonedWhenItsClientDisconnects() throws Exception {
         try (ScriptedHttpServer upstream = new ScriptedHttpServer((request, peer) -> {});
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.page("/api/x", "t", "5000m"));
             ScriptedHttpServer.next(upstream.requests);
@@ -31,12 +31,12 @@
                         peer.write(HttpMessages.ok("x"));
                     }
                 });
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.page("/api/x", "open", "3600000m"));
             ScriptedHttpServer.next(upstream.requests);
             ProxyFixture.write(client, HttpMessages.page("/api/x", "ahead", "5000m"));
-            proxy.awaitRead();
+            proxy.awaitPriorInputRead();
             client.close();
             // The open request is abandoned at once, and the pipelined one is never forwarded.
             ScriptedHttpServer.next(upstream.ended);
--- a/src/test/java/loadbalancer/proxy/downstream/ClientTimeoutTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ClientTimeoutTest.java
@@ -24,7 +24,7 @@
     @Test
     void silentAndStalledClientsAreTimedOut() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket silent = proxy.connect();
             Socket headOnly = proxy.connect();
             ProxyFixture.write(headOnly, "POST /api/order HTTP/1.1\r\nX-Txn: a\r\n");
@@ -53,13 +53,13 @@
         CountDownLatch respond = new CountDownLatch(1);
         SteppedClock clock = new SteppedClock();
         try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(respond, "x");
-                ProxyFixture proxy = ProxyFixture.quiet()) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat()) {
             proxy.clock = clock;
             proxy.start(upstream);
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.page("/api/p", "first", "60000m") + "GET /api/p HTTP/1.1\r\n");
             ScriptedHttpServer.next(upstream.requests);
-            proxy.awaitRead();
+            proxy.awaitPriorInputRead();
             clock.advance(TimeUnit.MILLISECONDS.toMicros(ConnectionLimits.READ_TIMEOUT_MS) + 1);
             respond.countDown();
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
@@ -75,7 +75,7 @@
     void clientThatReadsNoResponseIsTimedOut() throws Exception {
         String large = "a".repeat(ConnectionLimits.MAX_REQUEST_BODY_BYTES);
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving(large);
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             int sent = 0;
             do {
--- a/src/test/java/loadbalancer/proxy/downstream/ConnectionCloseTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ConnectionCloseTest.java
@@ -38,7 +38,7 @@
         client.configureBlocking(false);
         for (int i = 0; i < MAX_CHUNKS; i++) {
             if (client.write(requests.rewind()) == 0) {
-                proxy.awaitRead();
+                proxy.awaitPriorInputRead();
                 if (client.write(requests.rewind()) == 0) {
                     return;
                 }
@@ -50,7 +50,7 @@
     @Test
     void bytesAfterTheLastResponseAreNotRead() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream);
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream);
                 SocketChannel client = SocketChannel.open(proxy.address())) {
             HttpMessages.Message last = ProxyFixture.ask(
                     client.socket(), HttpMessages.page("t").replace("X-Org", "Connection: close\r\nX-Org"));
@@ -64,7 +64,7 @@
     @Test
     void requestsAfterTheLastResponseDoNotResetTheConnection() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             HttpMessages.Message last =
                     ProxyFixture.ask(client, HttpMessages.page("t").replace("X-Org", "Connection: close\r\nX-Org"));
@@ -72,10 +72,10 @@
             assertEquals(-1, client.getInputStream().read());
             // If the proxy had closed the socket, the first request would cause a reset and the next write would fail.
             for (String transactionId : new String[] {"u", "v"}) {
-                proxy.awaitRead();
+                proxy.awaitPriorInputRead();
                 ProxyFixture.write(client, HttpMessages.page(transactionId));
             }
-            proxy.awaitRead();
+            proxy.awaitPriorInputRead();
             assertEquals(1, upstream.requests.size(), "no further request is served");
         }
     }
@@ -84,7 +84,7 @@
     void bytesDuringTheLastResponseAreNotRead() throws Exception {
         String large = "a".repeat(ConnectionLimits.MAX_RESPONSE_BODY_BYTES);
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving(large);
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream);
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream);
                 SocketChannel client = SocketChannel.open()) {
             client.socket().setReceiveBufferSize(4_096);
             client.connect(proxy.address());
@@ -101,8 +101,8 @@
     void backlogIsServedWhenTheListenerCloses() throws Exception {
         int backlog = ConnectionLimits.MAX_ACCEPTS_PER_ITERATION + 36;
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet()) {
-            proxy.sockets = 1_024;
+                ProxyFixture proxy = ProxyFixture.withHeartbeat()) {
+            proxy.maxDescriptors = 1_024;
             proxy.start(upstream);
             CountDownLatch release = BacklogTest.blockEventLoop(proxy.loop);
             List<Socket> clients = new ArrayList<>();
@@ -116,7 +116,7 @@
             for (Socket client : clients) {
                 assertEquals(200, HttpMessages.read(client.getInputStream()).status());
             }
-            proxy.awaitNoneTaken();
+            proxy.awaitConnectionsRefused();
         }
     }
 
@@ -141,7 +141,7 @@
     void acceptingResumesSoonAfterAnError() throws Exception {
         AtomicInteger remainingFailures = new AtomicInteger(4);
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet()) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat()) {
             proxy.listeners = () -> new FailingListener(remainingFailures);
             proxy.start(upstream);
             Socket client = proxy.connect();
--- a/src/test/java/loadbalancer/proxy/downstream/ConnectionDrainingTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ConnectionDrainingTest.java
@@ -26,7 +26,7 @@
     void drainingProxyIsNotReadyAndCompletesOpenRequests() throws Exception {
         CountDownLatch respond = new CountDownLatch(1);
         try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(respond, "late");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             assertEquals(200, proxy.ask(HttpMessages.UP).status());
             Socket client = proxy.connect();
             Socket idle = proxy.connect();
@@ -39,7 +39,7 @@
             assertEquals("close", up.headers().get("connection"));
             // The proxy closes idle connections once it accepts no new ones. Open requests are still served.
             assertEquals(-1, idle.getInputStream().read());
-            proxy.awaitNoneTaken();
+            proxy.awaitConnectionsRefused();
             assertEquals(1, closed.getCount());
             respond.countDown();
             HttpMessages.Message last = HttpMessages.read(client.getInputStream());
@@ -53,12 +53,12 @@
     @Test
     void drainingProxyKeepsServingOpenConnections() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             assertEquals(
                     200, ProxyFixture.ask(client, HttpMessages.page("before")).status());
             proxy.node.beginGracefulShutdown(new ShutdownSchedule(20_000_000, 21_000_000), () -> {});
-            proxy.awaitNoneTaken();
+            proxy.awaitConnectionsRefused();
             for (int i = 0; i < 3; i++) {
                 HttpMessages.Message response = ProxyFixture.ask(client, HttpMessages.page("t" + i));
                 assertEquals(200, response.status());
@@ -71,7 +71,7 @@
     @Timeout(60)
     void partialRequestIsServedInAGracefulShutdown() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket partialRequestClient = proxy.connect();
             String order = HttpMessages.order("t", "5000m");
             ProxyFixture.write(partialRequestClient, order.substring(0, order.length() - 1));
@@ -93,7 +93,7 @@
     void pipelinedRequestsAreServedInAGracefulShutdown() throws Exception {
         CountDownLatch respond = new CountDownLatch(1);
         try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(respond, "x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(
                     client, HttpMessages.page("/api/p", "a", "20000m") + HttpMessages.page("/api/p", "b", "20000m"));
@@ -115,7 +115,7 @@
     @Timeout(60)
     void openRequestGets504BeforeTheProcessEnds() throws Exception {
         try (ScriptedHttpServer upstream = new ScriptedHttpServer((request, peer) -> {});
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.order("t", "3600000m"));
             ScriptedHttpServer.next(upstream.requests);
@@ -130,7 +130,7 @@
     @Test
     void requestOfADrainingProxyGetsAResponseBeforeTheProcessEnds() throws Exception {
         try (ScriptedHttpServer upstream = new ScriptedHttpServer((request, peer) -> {});
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             proxy.node.beginGracefulShutdown(new ShutdownSchedule(20_000_000, 400_000), () -> {});
             // The deadline of the request is later than the read timeout of the client.
@@ -142,7 +142,7 @@
     @Test
     @Timeout(60)
     void shutdownBeforeListeningCompletesAndPreventsListening() throws Exception {
-        try (ProxyFixture proxy = ProxyFixture.quiet()) {
+        try (ProxyFixture proxy = ProxyFixture.withHeartbeat()) {
             ProxyNode node = new ProxyNode(proxy.config(ProxyFixture.list(1, true)), proxy.loop, proxy.dependencies());
             CountDownLatch closed = new CountDownLatch(1);
             node.beginGracefulShutdown(SHORT_REQUEST_TIME, closed::countDown);
--- a/src/test/java/loadbalancer/proxy/downstream/ConnectionEvictionTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ConnectionEvictionTest.java
@@ -21,8 +21,8 @@
     @Test
     void longestIdleConnectionIsEvictedForANewOne() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet()) {
-            proxy.sockets = 64;
+                ProxyFixture proxy = ProxyFixture.withHeartbeat()) {
+            proxy.maxDescriptors = 64;
             proxy.start(upstream);
             Socket first = proxy.connect();
             assertEquals(
@@ -37,13 +37,13 @@
     @Test
     void numberOfIdleConnectionsIsLimited() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket activeClient = proxy.connect();
             Socket first = proxy.connect();
             assertEquals(
                     200, ProxyFixture.ask(first, HttpMessages.page("first")).status());
             // Exceeds the limit on idle connections with far fewer connections than the descriptors allow.
-            for (int i = 0; i < proxy.sockets / 6; i++) {
+            for (int i = 0; i < proxy.maxDescriptors / 6; i++) {
                 assertEquals(
                         200,
                         ProxyFixture.ask(activeClient, HttpMessages.page("u" + i))
@@ -73,15 +73,15 @@
     void numberOfIdleConnectionsIsLimitedAfterABurst() throws Exception {
         CountDownLatch respond = new CountDownLatch(1);
         try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(respond, "x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
-            int maxIdle = proxy.sockets / 6;
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
+            int maxIdle = proxy.maxDescriptors / 6;
             List<Socket> clients = new ArrayList<>();
             for (int i = 0; i < 2 * maxIdle; i++) {
                 Socket client = proxy.connect();
                 ProxyFixture.write(client, HttpMessages.page("/api/p", "t" + i, "5000m"));
                 clients.add(client);
             }
-            proxy.awaitRead();
+            proxy.awaitPriorInputRead();
             respond.countDown();
             for (Socket client : clients) {
                 HttpMessages.read(client.getInputStream());
@@ -100,8 +100,8 @@
     @Test
     void unusedConnectionsAreEvictedBeforeIdleOnes() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet()) {
-            proxy.sockets = 64;
+                ProxyFixture proxy = ProxyFixture.withHeartbeat()) {
+            proxy.maxDescriptors = 64;
             proxy.start(upstream);
             Socket activeClient = proxy.connect();
             assertEquals(
--- a/src/test/java/loadbalancer/proxy/downstream/DownstreamServerTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/DownstreamServerTest.java
@@ -18,7 +18,7 @@
     @Test
     void requestAndResponseAreForwardedUnchanged() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("proof");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             String request = "POST /api/7f3a?x=1&y=%20 HTTP/1.1\r\nHost: h\r\nX-Txn: 9b1f\r\nX-Lane: photo\r\n"
                     + "X-Org: org\r\nX-Remaining: 480m\r\nIdempotency-Key: 5c0f\r\n"
                     + "Content-Length: 4\r\n\r\nbody";
@@ -39,7 +39,7 @@
     @Test
     void remainingTimeSentUpstreamExcludesTheTimeForTheResponse() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             assertEquals(
                     200, proxy.ask(HttpMessages.page("/api/p", "t", "3000m")).status());
             String sent = ScriptedHttpServer.next(upstream.requests).headers().get("x-remaining");
@@ -50,7 +50,7 @@
     @Test
     void connectionIsKeptAliveBetweenRequests() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             for (int i = 0; i < 3; i++) {
                 assertEquals(
@@ -65,7 +65,7 @@
     void transactionIdOfAnOpenRequestIsRejected() throws Exception {
         CountDownLatch respond = new CountDownLatch(1);
         try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(respond, "x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket first = proxy.connect();
             ProxyFixture.write(first, HttpMessages.order("same", "5000m"));
             ScriptedHttpServer.next(upstream.requests);
@@ -82,7 +82,7 @@
     void rejectionHasRetryAfterAndKeepsTheConnection() throws Exception {
         try (ScriptedHttpServer upstream = new ScriptedHttpServer(
                         (request, peer) -> peer.write(HttpMessages.answer("503 Busy", "X-Turned-Away: 1\r\n", "")));
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             HttpMessages.Message response = proxy.ask(HttpMessages.order("t", "300m"));
             assertEquals(503, response.status());
             assertEquals("0.25", response.headers().get("retry-after"));
--- a/src/test/java/loadbalancer/proxy/downstream/InvalidRequestTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/InvalidRequestTest.java
@@ -37,7 +37,7 @@
             })
     void invalidRequestGets400AndIsNotForwarded(String lines) throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             assertEquals(400, proxy.ask(lines.replace("|", "\r\n") + "\r\n\r\n").status());
             assertEquals(0, upstream.connections.get());
             assertEquals(200, proxy.ask(HttpMessages.page("next")).status(), "the proxy still serves requests");
@@ -47,7 +47,7 @@
     @Test
     void unknownPathGets404AndIsNotForwarded() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             assertEquals(
                     404, proxy.ask(HttpMessages.page("/apis/x", "t", "400m")).status());
             assertEquals(0, upstream.connections.get());
@@ -57,7 +57,7 @@
     @Test
     void bodyOver64KiBGets413AndBodyOfExactly64KiBIsForwarded() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             String order = HttpMessages.order("t", "4000m");
             String largest = HttpMessages.order("t", "4000m", "a".repeat(65_536));
             assertEquals(200, proxy.ask(largest).status());
@@ -70,7 +70,7 @@
     @Test
     void responseToAnOversizedBodyIsDeliveredWhileTheBodyArrives() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.order("t", "4000m", "a".repeat(8_000_000)));
             assertEquals(413, HttpMessages.read(client.getInputStream()).status());
@@ -98,7 +98,7 @@
             })
     void ambiguousFramingGets400AndClosesTheConnection(String framing) throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(
                     client,
@@ -114,7 +114,7 @@
     @Test
     void noPipelinedRequestIsServedAfterAnInvalidOne() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.page("/api/p", "t", "soon") + HttpMessages.page("u"));
             assertEquals(400, HttpMessages.read(client.getInputStream()).status());
@@ -127,13 +127,13 @@
     void oversizedPipelinedRequestDoesNotAffectTheOpenOne() throws Exception {
         CountDownLatch respond = new CountDownLatch(1);
         try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(respond, "x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.page("/api/p", "t", "5000m"));
             ScriptedHttpServer.next(upstream.requests);
             ProxyFixture.write(client, HttpMessages.order("u", "4000m").replace("Length: 2", "Length: 90000"));
             // Waits until the proxy has read the oversized request.
-            proxy.awaitRead();
+            proxy.awaitPriorInputRead();
             respond.countDown();
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
             assertEquals(413, HttpMessages.read(client.getInputStream()).status());
--- a/src/test/java/loadbalancer/proxy/downstream/RequestPipeliningTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/RequestPipeliningTest.java
@@ -20,7 +20,7 @@
     void pipelinedRequestsGetResponsesInOrder() throws Exception {
         try (ScriptedHttpServer upstream = new ScriptedHttpServer((request, peer) ->
                         peer.write(HttpMessages.ok(request.headers().get("x-txn"))));
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.page("a") + HttpMessages.page("b") + HttpMessages.page("c"));
             for (String transactionId : new String[] {"a", "b", "c"}) {
@@ -35,14 +35,14 @@
     void pipelinedBodiesOverTheLimitAreReadAfterEarlierResponses() throws Exception {
         CountDownLatch respond = new CountDownLatch(1);
         try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(respond, "x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.page("/api/x", "open", "5000m"));
             ScriptedHttpServer.next(upstream.requests);
             for (String transactionId : new String[] {"a", "b"}) {
                 ProxyFixture.write(client, HttpMessages.order(transactionId, "5000m", "a".repeat(40_000)));
             }
-            proxy.awaitRead();
+            proxy.awaitPriorInputRead();
             respond.countDown();
             for (int i = 0; i < 3; i++) {
                 assertEquals(200, HttpMessages.read(client.getInputStream()).status());
@@ -56,7 +56,7 @@
         CountDownLatch respond = new CountDownLatch(1);
         int requests = 300;
         try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(respond, "x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             StringBuilder pipelined = new StringBuilder();
             for (int i = 0; i < requests; i++) {
@@ -64,7 +64,7 @@
             }
             ProxyFixture.write(client, pipelined.toString());
             ScriptedHttpServer.next(upstream.requests);
-            proxy.awaitRead();
+            proxy.awaitPriorInputRead();
             respond.countDown();
             for (int i = 0; i < requests; i++) {
                 assertEquals(200, HttpMessages.read(client.getInputStream()).status());
@@ -76,7 +76,7 @@
     @Test
     void readingPausesWhileTooManyRequestsArePipelined() throws Exception {
         try (ScriptedHttpServer upstream = new ScriptedHttpServer((request, peer) -> {});
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream);
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream);
                 SocketChannel client = SocketChannel.open(proxy.address())) {
             ProxyFixture.write(client.socket(), HttpMessages.page("open"));
             ScriptedHttpServer.next(upstream.requests);
--- a/src/test/java/loadbalancer/proxy/lifecycle/ClockStepTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ClockStepTest.java
@@ -23,11 +23,11 @@
     @ValueSource(longs = {-HOUR_MS, -5_000, 5_000, HOUR_MS})
     void aServerIsUsedWhateverTheClocksSayOfItsStart(long aheadMs) throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.quiet()) {
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
             // Whether a server is warm is the module's matter, with tests of its own.
             site.settings.slowStartUs = 0;
             String list = ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready");
-            site.startKnowing(startedAt(list, System.currentTimeMillis() + aheadMs));
+            site.startWithCachedList(startedAt(list, System.currentTimeMillis() + aheadMs));
             assertEquals(200, site.ask(HttpMessages.order("a", "20000m")).status());
             assertEquals(200, site.ask(HttpMessages.order("b", "20000m")).status());
             assertEquals(1, server.connections.get(), "the connection is used again");
@@ -39,12 +39,12 @@
     @ValueSource(longs = {-HOUR_MS, HOUR_MS})
     void aRestartClosesWhatWasOpenToTheProcessBefore(long aheadMs) throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.quiet()) {
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
             // Whether a server is warm is the module's matter, with tests of its own.
             site.settings.slowStartUs = 0;
             long now = System.currentTimeMillis();
             String list = ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready");
-            site.startKnowing(startedAt(list, now));
+            site.startWithCachedList(startedAt(list, now));
             ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(site.discovery.peers);
             assertEquals(200, site.ask(HttpMessages.order("a", "20000m")).status());
             ScriptedHttpServer.Peer before = ScriptedHttpServer.next(server.peers);
@@ -57,11 +57,11 @@
     @Test
     void aWordThatChangesNothingOfAServerKeepsItsConnections() throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.quiet()) {
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
             // Whether a server is warm is the module's matter, with tests of its own.
             site.settings.slowStartUs = 0;
             String list = startedAt(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"), HOUR_MS);
-            site.startKnowing(list);
+            site.startWithCachedList(list);
             ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(site.discovery.peers);
             assertEquals(200, site.ask(HttpMessages.order("a", "20000m")).status());
             watch.write(ProxyFixture.chunk(list.replace("\"rev\":1", "\"rev\":2") + "\n"));
--- a/src/test/java/loadbalancer/proxy/lifecycle/DeadlineTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/DeadlineTest.java
@@ -28,7 +28,7 @@
         CountDownLatch first = new CountDownLatch(1);
         SteppedClock clock = new SteppedClock();
         try (ScriptedHttpServer server = ScriptedHttpServer.servingFrom(first, "x");
-                ProxyFixture site = ProxyFixture.quiet()) {
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
             site.clock = clock;
             site.start(server);
             Socket client = site.connect();
@@ -36,7 +36,7 @@
                     client,
                     HttpMessages.page("/api/p", "first", "100000m") + HttpMessages.page("/api/p", "second", "30000m"));
             ScriptedHttpServer.next(server.requests);
-            site.awaitRead();
+            site.awaitPriorInputRead();
             clock.advance(20 * SECOND_US);
             ScriptedHttpServer.next(site.discovery.peers).write(ProxyFixture.chunk("\n"));
             site.awaitLease();
@@ -53,14 +53,14 @@
         CountDownLatch first = new CountDownLatch(1);
         SteppedClock clock = new SteppedClock();
         try (ScriptedHttpServer server = ScriptedHttpServer.servingFrom(first, "x");
-                ProxyFixture site = ProxyFixture.quiet()) {
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
             site.clock = clock;
             site.start(server);
             Socket client = site.connect();
             ProxyFixture.write(
                     client, HttpMessages.page("/api/p", "first", "100000m") + HttpMessages.order("second", "10000m"));
             ScriptedHttpServer.next(server.requests);
-            site.awaitRead();
+            site.awaitPriorInputRead();
             clock.advance(20 * SECOND_US);
             first.countDown();
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
--- a/src/test/java/loadbalancer/proxy/lifecycle/FaultMatrixTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/FaultMatrixTest.java
@@ -137,10 +137,10 @@
         private final ScriptedHttpServer second = new ScriptedHttpServer((request, peer) ->
                 peer.write(HttpMessages.ok("second " + request.headers().get("x-txn"))));
         private final ScriptedHttpServer elsewhere =
-                new ScriptedHttpServer((request, peer) -> peer.write(ProxyFixture.watchHead()
+                new ScriptedHttpServer((request, peer) -> peer.write(ProxyFixture.watchResponseHead()
                         + ProxyFixture.chunk(
                                 list(100, "s0=" + first.endpoint() + "=Ready", "s1=" + second.endpoint() + "=Ready"))));
-        private final ProxyFixture site = ProxyFixture.quiet();
+        private final ProxyFixture site = ProxyFixture.withHeartbeat();
         private ScriptedHttpServer.Peer watch;
         private Socket client;
 
@@ -218,12 +218,13 @@
         }
 
         private void start() throws Exception {
-            site.module = actions -> watched(new ServiceQLoadBalancer(site.settings, 7, actions));
+            site.loadBalancers = actions -> watched(new ServiceQLoadBalancer(site.settings, 7, actions));
             if (point == Point.HALF_WRITTEN) {
-                site.serverChannels = this::stallingFirst;
+                site.upstreamChannels = this::stallingFirst;
             }
             // The second is ready only once the request is on its way to the first.
-            site.startKnowing(list(1, "s0=" + first.endpoint() + "=Ready", "s1=" + second.endpoint() + "=Terminating"));
+            site.startWithCachedList(
+                    list(1, "s0=" + first.endpoint() + "=Ready", "s1=" + second.endpoint() + "=Terminating"));
             ScriptedHttpServer.next(lists);
             watch = ScriptedHttpServer.next(site.discovery.peers);
         }
@@ -247,10 +248,10 @@
                     injectIfOfClient();
                     heldUp.countDown();
                 }
-                case ACCEPTED -> site.awaitRead();
+                case ACCEPTED -> site.awaitPriorInputRead();
                 case HALF_READ -> {
                     ProxyFixture.write(client, request().substring(0, 40));
-                    site.awaitRead();
+                    site.awaitPriorInputRead();
                 }
                 case ANSWERED -> {
                     ProxyFixture.write(client, request());
@@ -327,7 +328,7 @@
             if (fault.isOfClient()) {
                 site.awaitCounts(counts -> counts.clients() == 0);
             } else if (fault.isOfServer()) {
-                site.awaitRead();
+                site.awaitPriorInputRead();
             }
         }
 
@@ -358,8 +359,8 @@
                                     site.address(),
                                     ProxyConfiguration.parseAddress("discovery", elsewhere.endpoint()),
                                     7,
-                                    site.sockets,
-                                    site.connIdleUs,
+                                    site.maxDescriptors,
+                                    site.upstreamIdleTimeoutUs,
                                     null,
                                     site.settings),
                             site.node.nowUs());
@@ -387,7 +388,7 @@
             }
             nothingNewToWhoLeft();
             client.close();
-            site.assertNothingIsCountedForGood();
+            site.assertAllResourcesReleased();
             assertTrue(!unsafe || timesRun() <= 1, "ran " + timesRun() + " times");
         }
 
--- a/src/test/java/loadbalancer/proxy/lifecycle/LeaseEnforcementTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/LeaseEnforcementTest.java
@@ -25,7 +25,7 @@
     /** A discovery whose calls have no answer until a latch opens. */
     private static ProxyFixture answeredFrom(CountDownLatch start) throws Exception {
         return new ProxyFixture(new ScriptedHttpServer((request, peer) -> {
-            peer.write(ProxyFixture.watchHead());
+            peer.write(ProxyFixture.watchResponseHead());
             ScriptedHttpServer.await(start);
             peer.write(ProxyFixture.chunk("\n"));
         }));
@@ -36,7 +36,7 @@
         CountDownLatch start = new CountDownLatch(1);
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
                 ProxyFixture site = answeredFrom(start)) {
-            site.startUnconfirmed(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"));
+            site.startWithoutLease(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"));
             assertEquals(503, site.ask(HttpMessages.UP).status());
             HttpMessages.Message refusal = site.ask(HttpMessages.order("early", "5000m"));
             assertEquals(503, refusal.status());
@@ -54,7 +54,7 @@
         CountDownLatch answered = new CountDownLatch(1);
         SteppedClock clock = new SteppedClock();
         try (ScriptedHttpServer server = ScriptedHttpServer.servingFrom(answered, "x");
-                ProxyFixture site = ProxyFixture.quiet()) {
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
             site.clock = clock;
             site.start(server);
             Socket out = site.connect();
@@ -84,7 +84,7 @@
         };
         try (ScriptedHttpServer one = new ScriptedHttpServer(failing);
                 ScriptedHttpServer two = new ScriptedHttpServer(failing);
-                ProxyFixture site = ProxyFixture.quiet()) {
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
             site.clock = clock;
             site.start(one, two);
             Socket client = site.connect();
@@ -103,10 +103,10 @@
     void whatAwaitsAConnectionAsTheLeaseEndsIsRefusedAndNotSentOnceItIsUp() throws Exception {
         SteppedClock clock = new SteppedClock();
         try (HangingListener hanging = new HangingListener();
-                ProxyFixture site = ProxyFixture.quiet()) {
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
             site.clock = clock;
             site.settings.connectTimeoutUs = 20_000_000;
-            site.startKnowing(ProxyFixture.list(1, true, "s0=" + hanging.endpoint() + "=Ready"));
+            site.startWithCachedList(ProxyFixture.list(1, true, "s0=" + hanging.endpoint() + "=Ready"));
             Socket client = site.connect();
             ProxyFixture.write(client, HttpMessages.order("t", "50000m"));
             site.awaitCounts(counts -> counts.exchanges() == 1);
@@ -151,8 +151,8 @@
         FullChannel[] first = new FullChannel[1];
         try (ScriptedHttpServer drains = ScriptedHttpServer.serving("drains");
                 ScriptedHttpServer stays = ScriptedHttpServer.serving("stays");
-                ProxyFixture site = ProxyFixture.quiet()) {
-            site.serverChannels = () -> {
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
+            site.upstreamChannels = () -> {
                 if (first[0] == null) {
                     first[0] = new FullChannel(full);
                     return first[0];
--- a/src/test/java/loadbalancer/proxy/lifecycle/MemoryGrowthTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/MemoryGrowthTest.java
@@ -84,8 +84,8 @@
                     peer.write(
                             HttpMessages.answer(status, status.startsWith("503") ? "X-Turned-Away: 1\r\n" : "", "x"));
                 });
-                ProxyFixture site = ProxyFixture.quiet()) {
-            site.startKnowing(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"));
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
+            site.startWithCachedList(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"));
             ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(site.discovery.peers);
             Set<Integer> seen = new HashSet<>();
             for (int i = 1; i <= TURNS; i++) {
--- a/src/test/java/loadbalancer/proxy/lifecycle/ProxyFixture.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ProxyFixture.java
@@ -42,20 +42,20 @@
 
 /** A node on loopback sockets with the servers that its list names and a discovery that a test plays. */
 public final class ProxyFixture implements AutoCloseable {
-    private static final long PATIENCE_NANOS = 20_000_000_000L;
+    private static final long TIMEOUT_NS = 20_000_000_000L;
 
     public final LoadBalancerSettings settings = new LoadBalancerSettings();
     public final ScriptedHttpServer discovery;
     public final EventLoop loop = ProxyNode.newLoop();
-    public int sockets = 256;
-    public long connIdleUs = 60_000_000;
+    public int maxDescriptors = 256;
+    public long upstreamIdleTimeoutUs = 60_000_000;
     /** Connections are used again at once, so that tests can count them. */
-    public long restUs = 0;
+    public long connectionReuseDelayUs = 0;
     /** The decision module; a test may put a faulty one in its place. */
-    public Function<LoadBalancerActions, LoadBalancer> module;
+    public Function<LoadBalancerActions, LoadBalancer> loadBalancers;
 
     public Clock clock = new SystemClock();
-    public ChannelFactory<UpstreamChannel> serverChannels = UpstreamChannel::new;
+    public ChannelFactory<UpstreamChannel> upstreamChannels = UpstreamChannel::new;
     public ChannelFactory<? extends SocketChannel> discoveryChannels = NioSocketChannel::new;
     public ChannelFactory<ClientListener> listeners = ClientListener::new;
     public ProxyNode node;
@@ -64,7 +64,7 @@
 
     public ProxyFixture(ScriptedHttpServer discovery) {
         this.discovery = discovery;
-        module = actions -> new ServiceQLoadBalancer(settings, 7, actions);
+        loadBalancers = actions -> new ServiceQLoadBalancer(settings, 7, actions);
         settings.zones.add("here");
         settings.classes.add(requestClass("page", Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
         settings.classes.add(requestClass("photo", Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL));
@@ -82,16 +82,17 @@
     }
 
     /** A site whose discovery opens each watch with a heartbeat: the list that the node knows holds. */
-    public static ProxyFixture quiet() throws IOException {
-        return new ProxyFixture(new ScriptedHttpServer((request, peer) -> peer.write(watchHead() + chunk("\n"))));
+    public static ProxyFixture withHeartbeat() throws IOException {
+        return new ProxyFixture(
+                new ScriptedHttpServer((request, peer) -> peer.write(watchResponseHead() + chunk("\n"))));
     }
 
     /** A site whose discovery opens a watch and says nothing on it. */
-    public static ProxyFixture silent() throws IOException {
-        return new ProxyFixture(new ScriptedHttpServer((request, peer) -> peer.write(watchHead())));
+    public static ProxyFixture withSilentDiscovery() throws IOException {
+        return new ProxyFixture(new ScriptedHttpServer((request, peer) -> peer.write(watchResponseHead())));
     }
 
-    public static String watchHead() {
+    public static String watchResponseHead() {
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     }
 
@@ -121,14 +122,15 @@
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 ProxyConfiguration.parseAddress("discovery", discovery.endpoint()),
                 7,
-                sockets,
-                connIdleUs,
+                maxDescriptors,
+                upstreamIdleTimeoutUs,
                 new EndpointListDecoder(settings.zones).decode(new ObjectMapper().readTree(known)),
                 settings);
     }
 
     public ProxyNodeDependencies dependencies() {
-        return new ProxyNodeDependencies(clock, restUs, module, serverChannels, discoveryChannels, listeners);
+        return new ProxyNodeDependencies(
+                clock, connectionReuseDelayUs, loadBalancers, upstreamChannels, discoveryChannels, listeners);
     }
 
     /** Starts the node with the servers s0, s1, ... */
@@ -137,26 +139,26 @@
         for (int i = 0; i < servers.length; i++) {
             entries[i] = "s" + i + "=" + servers[i].endpoint() + "=Ready";
         }
-        return startKnowing(list(1, true, entries));
+        return startWithCachedList(list(1, true, entries));
     }
 
     /** Starts the node with a list that discovery has still to confirm, and waits until it does. */
-    public ProxyFixture startKnowing(String known) throws Exception {
-        startUnconfirmed(known);
+    public ProxyFixture startWithCachedList(String known) throws Exception {
+        startWithoutLease(known);
         awaitLease();
         return this;
     }
 
     /** Waits until the node may send requests by its list. */
     public void awaitLease() throws Exception {
-        long until = System.nanoTime() + PATIENCE_NANOS;
-        while (!loop.submit(node::mayRoute).get()) {
+        long until = System.nanoTime() + TIMEOUT_NS;
+        while (!loop.submit(node::isLeaseHeld).get()) {
             assertTrue(System.nanoTime() < until, "nothing vouches for the list");
         }
     }
 
     /** The same without waiting. */
-    public ProxyFixture startUnconfirmed(String known) throws Exception {
+    public ProxyFixture startWithoutLease(String known) throws Exception {
         node = new ProxyNode(config(known), loop, dependencies());
         address = (InetSocketAddress) node.start().sync().getNow();
         return this;
@@ -181,7 +183,7 @@
 
     /** Waits until the node holds just what is wanted. */
     public void awaitCounts(Predicate<ProxyNodeCounts> wanted) throws Exception {
-        long until = System.nanoTime() + PATIENCE_NANOS;
+        long until = System.nanoTime() + TIMEOUT_NS;
         ProxyNodeCounts counts;
         do {
             counts = loop.submit(node::counts).get();
@@ -190,7 +192,7 @@
     }
 
     /** Closes all clients, then the node, and waits until what each of them held is given back. */
-    public void assertNothingIsCountedForGood() throws Exception {
+    public void assertAllResourcesReleased() throws Exception {
         closeClients();
         awaitCounts(counts -> counts.requests() == 0 && counts.exchanges() == 0 && counts.clients() == 0);
         node.close();
@@ -198,7 +200,7 @@
     }
 
     /** Waits until no connection is taken: the system closes the listener a moment after the loop has. */
-    public void awaitNoneTaken() {
+    public void awaitConnectionsRefused() {
         assertTimeoutPreemptively(
                 Duration.ofSeconds(20),
                 () -> assertThrows(IOException.class, () -> {
@@ -224,7 +226,7 @@
     }
 
     /** Returns once the node has read what came before: a later request has its answer. */
-    public void awaitRead() throws IOException {
+    public void awaitPriorInputRead() throws IOException {
         assertEquals(404, ask(HttpMessages.page("/nothing", "later", "1m")).status());
     }
 
--- a/src/test/java/loadbalancer/proxy/lifecycle/ProxyNodeTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ProxyNodeTest.java
@@ -76,8 +76,9 @@
         // Neither answer is a success, so that the node owes the client its own.
         try (ScriptedHttpServer server =
                         new ScriptedHttpServer((request, peer) -> peer.write(HttpMessages.answer("500 No", "", "")));
-                ProxyFixture site = ProxyFixture.quiet()) {
-            site.module = actions -> breaking(new ServiceQLoadBalancer(site.settings, 7, actions), event, defect);
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
+            site.loadBalancers =
+                    actions -> breaking(new ServiceQLoadBalancer(site.settings, 7, actions), event, defect);
             site.start(server);
             assertEquals(500, site.ask(HttpMessages.order("first", "4000m")).status());
             assertEquals(502, site.ask(HttpMessages.order("second", "4000m")).status());
@@ -149,7 +150,7 @@
 
     @Test
     void sighupIsHeardAlsoWhereTheNodeWasStartedWithItIgnored(@TempDir Path folder) throws Exception {
-        ScriptedHttpServer.Script watch = (request, peer) -> peer.write(ProxyFixture.watchHead());
+        ScriptedHttpServer.Script watch = (request, peer) -> peer.write(ProxyFixture.watchResponseHead());
         try (ScriptedHttpServer before = new ScriptedHttpServer(watch);
                 ScriptedHttpServer after = new ScriptedHttpServer(watch)) {
             Path config = configure(folder, before.endpoint());
@@ -178,7 +179,7 @@
                 ScriptedHttpServer discovery = new ScriptedHttpServer((request, peer) -> peer.write(
                         !up.get()
                                 ? HttpMessages.answer("503 Down", "", "")
-                                : ProxyFixture.watchHead()
+                                : ProxyFixture.watchResponseHead()
                                         + ProxyFixture.chunk(
                                                 ProxyFixture.list(2, true, "s0=" + server.endpoint() + "=Ready")
                                                         + "\n")))) {
@@ -240,7 +241,7 @@
 
     @Test
     void onSighupTheWatchMovesToWhereTheFileSaysAndABadFileChangesNothing(@TempDir Path folder) throws Exception {
-        ScriptedHttpServer.Script watch = (request, peer) -> peer.write(ProxyFixture.watchHead());
+        ScriptedHttpServer.Script watch = (request, peer) -> peer.write(ProxyFixture.watchResponseHead());
         try (ScriptedHttpServer before = new ScriptedHttpServer(watch);
                 ScriptedHttpServer after = new ScriptedHttpServer(watch)) {
             Path config = configure(folder, before.endpoint());
@@ -273,7 +274,7 @@
     @Test
     @Timeout(60)
     void aFileThatIsHalfWrittenAtSighupIsReadAgainWithoutAnotherSignal(@TempDir Path folder) throws Exception {
-        ScriptedHttpServer.Script watch = (request, peer) -> peer.write(ProxyFixture.watchHead());
+        ScriptedHttpServer.Script watch = (request, peer) -> peer.write(ProxyFixture.watchResponseHead());
         try (ScriptedHttpServer before = new ScriptedHttpServer(watch);
                 ScriptedHttpServer after = new ScriptedHttpServer(watch)) {
             Path config = configure(folder, before.endpoint());
@@ -297,7 +298,7 @@
     void aListenerForWhichThereIsNoDescriptorAtFirstIsOpenedOnceThereIsOne() throws Exception {
         AtomicInteger attempts = new AtomicInteger();
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.quiet()) {
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
             site.listeners = () -> {
                 if (attempts.getAndIncrement() < 2) {
                     throw new ChannelException("Failed to open a socket, for the test");
--- a/src/test/java/loadbalancer/proxy/lifecycle/ShutdownScheduleTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ShutdownScheduleTest.java
@@ -40,11 +40,11 @@
         long aimUs = 380_000;
         ShutdownSchedule schedule = schedule(aimUs, deadlineUs);
         long killedUs = Math.min(3_000_000, deadlineUs) + 700_000;
-        assertTrue(schedule.lastAnswerUs() < killedUs);
-        assertTrue(schedule.lastRequestUs() <= schedule.lastAnswerUs());
-        assertTrue(schedule.lastRequestUs() >= ConnectionLimits.ACCEPT_AFTER_SHUTDOWN_MS * 1_000);
+        assertTrue(schedule.responseDeadlineUs() < killedUs);
+        assertTrue(schedule.servingTimeUs() <= schedule.responseDeadlineUs());
+        assertTrue(schedule.servingTimeUs() >= ConnectionLimits.ACCEPT_AFTER_SHUTDOWN_MS * 1_000);
         if (deadlineUs >= 1_000_000) {
-            assertEquals(schedule.lastAnswerUs() - aimUs, schedule.lastRequestUs());
+            assertEquals(schedule.responseDeadlineUs() - aimUs, schedule.servingTimeUs());
         }
     }
 
@@ -52,6 +52,6 @@
     void anAimThatIsLongerThanTheGraceLeavesTheTimeInWhichConnectionsArrive() {
         assertEquals(
                 ConnectionLimits.ACCEPT_AFTER_SHUTDOWN_MS * 1_000,
-                schedule(20_000_000, 30_000_000).lastRequestUs());
+                schedule(20_000_000, 30_000_000).servingTimeUs());
     }
 }
--- a/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
@@ -23,17 +23,17 @@
 
     @Test
     void requestsAreServedWithNoWordToDiscovery() throws Exception {
-        try (ProxyFixture site = ProxyFixture.quiet()) {
+        try (ProxyFixture site = ProxyFixture.withHeartbeat()) {
             // In a warm JVM the requests follow so fast that connections awaiting reuse take all of 256 descriptors.
-            site.sockets = 1_024;
-            assertTrue(StartupWarmUp.play(site.config(ProxyFixture.list(1, true)), site.loop) > 0);
+            site.maxDescriptors = 1_024;
+            assertTrue(StartupWarmUp.run(site.config(ProxyFixture.list(1, true)), site.loop) > 0);
             assertEquals(0, site.discovery.connections.get());
         }
     }
 
     @Test
     void littleCpuDoesNotEndItBeforeItIsWarm() throws Exception {
-        try (ProxyFixture site = ProxyFixture.quiet()) {
+        try (ProxyFixture site = ProxyFixture.withHeartbeat()) {
             // As on a part of a core: every turn of the loop takes some time more.
             AtomicBoolean over = new AtomicBoolean();
             site.loop.execute(new Runnable() {
@@ -45,27 +45,27 @@
                     }
                 }
             });
-            long served = StartupWarmUp.play(site.config(ProxyFixture.list(1, true)), site.loop);
+            long served = StartupWarmUp.run(site.config(ProxyFixture.list(1, true)), site.loop);
             over.set(true);
-            assertEquals(StartupWarmUp.REQUESTS, served);
+            assertEquals(StartupWarmUp.MAX_REQUESTS, served);
         }
     }
 
     /** A start took all nodes that were killed together 2.5 s, half of it for code that few requests use. */
     @Test
     void aNodeOfManyRehearsesForTheFewRequestsThatComeToIt() throws Exception {
-        try (ProxyFixture site = ProxyFixture.quiet()) {
+        try (ProxyFixture site = ProxyFixture.withHeartbeat()) {
             site.settings.tenants.set(0, new Tenant("org", 1_400));
             site.settings.instances = 4;
-            assertEquals(StartupWarmUp.REQUESTS, StartupWarmUp.requests(site.settings));
+            assertEquals(StartupWarmUp.MAX_REQUESTS, StartupWarmUp.requestCount(site.settings));
             site.settings.instances = 14;
-            assertEquals(100, StartupWarmUp.play(site.config(ProxyFixture.list(1, true)), site.loop));
+            assertEquals(100, StartupWarmUp.run(site.config(ProxyFixture.list(1, true)), site.loop));
         }
     }
 
     @Test
     void aResetOfItsOwnConnectionsEndsThemAndNothingMore() {
-        EmbeddedChannel channel = new EmbeddedChannel(new StartupWarmUp.Ending());
+        EmbeddedChannel channel = new EmbeddedChannel(new StartupWarmUp.CloseOnExceptionHandler());
         channel.pipeline().fireExceptionCaught(new IOException("Connection reset"));
         channel.checkException();
         assertFalse(channel.isOpen());
@@ -74,13 +74,13 @@
     @Test
     void aNodeThatIsClosedLeavesNothingOpen() throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.quiet().start(server)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
             Socket client = site.connect();
             assertEquals(200, ProxyFixture.ask(client, HttpMessages.page("t")).status());
             site.node.close();
             assertEquals(-1, client.getInputStream().read());
             ScriptedHttpServer.next(server.ended);
-            site.awaitNoneTaken();
+            site.awaitConnectionsRefused();
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/logging/EventLogTest.java
+++ b/src/test/java/loadbalancer/proxy/logging/EventLogTest.java
@@ -38,7 +38,7 @@
             }
         }));
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             ScriptedHttpServer.next(proxy.discovery.peers).reset();
             // The proxy logs that the watch has closed, which blocks the writer thread.
             blocked.await();
--- a/src/test/java/loadbalancer/proxy/upstream/FailingSystemCallTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/FailingSystemCallTest.java
@@ -155,14 +155,14 @@
     void anOrderIsServedIfItSurelyNeverRanAndFailsIfItMayHave(SystemCall call) throws Exception {
         AtomicInteger failures = new AtomicInteger(FAILURES);
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.quiet()) {
-            site.serverChannels = () -> serverChannel(call, failures);
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
+            site.upstreamChannels = () -> serverChannel(call, failures);
             site.start(server);
             assertEquals(
                     call.isOfRead() ? 502 : 200,
                     site.ask(HttpMessages.order("t", "20000m")).status());
             assertEquals(1, server.requests.size());
-            site.assertNothingIsCountedForGood();
+            site.assertAllResourcesReleased();
         }
     }
 
@@ -171,11 +171,11 @@
     void aPageIsServedWhateverFailsForAMoment(SystemCall call) throws Exception {
         AtomicInteger failures = new AtomicInteger(FAILURES);
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.quiet()) {
-            site.serverChannels = () -> serverChannel(call, failures);
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
+            site.upstreamChannels = () -> serverChannel(call, failures);
             site.start(server);
             assertEquals(200, site.ask(HttpMessages.page("t")).status());
-            site.assertNothingIsCountedForGood();
+            site.assertAllResourcesReleased();
         }
     }
 
@@ -185,7 +185,7 @@
         AtomicInteger failures = new AtomicInteger(FAILURES);
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
                 ScriptedHttpServer discovery =
-                        new ScriptedHttpServer((request, peer) -> peer.write(ProxyFixture.watchHead()
+                        new ScriptedHttpServer((request, peer) -> peer.write(ProxyFixture.watchResponseHead()
                                 + ProxyFixture.chunk(
                                         ProxyFixture.list(2, true, "s0=" + server.endpoint() + "=Ready") + "\n")));
                 ProxyFixture site = new ProxyFixture(discovery)) {
@@ -198,9 +198,9 @@
                 }
                 return new FailingDiscoveryChannel(call);
             };
-            site.startKnowing(ProxyFixture.list(1, true));
+            site.startWithCachedList(ProxyFixture.list(1, true));
             assertEquals(200, site.ask(HttpMessages.page("t")).status());
-            site.assertNothingIsCountedForGood();
+            site.assertAllResourcesReleased();
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
@@ -58,7 +58,7 @@
     void aRefusedConnectionNeverRan() throws Exception {
         try (ScriptedHttpServer dead = ScriptedHttpServer.serving("x");
                 ScriptedHttpServer good = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.quiet()) {
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
             dead.stop();
             site.start(dead, good);
             allServed(site);
@@ -71,7 +71,7 @@
         try (ScriptedHttpServer full = new ScriptedHttpServer(
                         (request, peer) -> peer.write(HttpMessages.answer("504 Over", "X-Turned-Away: 1\r\n", "")));
                 ScriptedHttpServer good = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.quiet().start(full, good)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(full, good)) {
             allServed(site);
             assertEquals(ASKED, good.requests.size());
             assertTrue(full.requests.size() > 0);
@@ -100,7 +100,7 @@
                     peer.write(answer);
                     peer.socket().close();
                 });
-                ProxyFixture site = ProxyFixture.quiet().start(bad)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(bad)) {
             assertEquals(502, site.ask(HttpMessages.order("t", "4000m")).status());
             assertEquals(1, bad.requests.size(), "an order is sent once");
         }
@@ -110,7 +110,7 @@
     void aRepeatableRequestPassesOnAfterAReset() throws Exception {
         try (ScriptedHttpServer bad = new ScriptedHttpServer((request, peer) -> peer.reset());
                 ScriptedHttpServer good = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.quiet().start(bad, good)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(bad, good)) {
             for (int i = 0; i < ASKED; i++) {
                 assertEquals(
                         200,
@@ -124,7 +124,7 @@
     void anAnswerPastAllBoundsIsGivenUpAtOnce() throws Exception {
         try (ScriptedHttpServer bad = new ScriptedHttpServer(
                         (request, peer) -> peer.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"));
-                ProxyFixture site = ProxyFixture.quiet().start(bad)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(bad)) {
             assertEquals(502, site.ask(HttpMessages.order("t", "3600000m")).status());
             ScriptedHttpServer.next(bad.ended);
         }
@@ -134,7 +134,7 @@
     void anAnswerLargerThanRequestsMayBePassesOnWhole() throws Exception {
         String large = "photo".repeat(70_000);
         try (ScriptedHttpServer server = ScriptedHttpServer.serving(large);
-                ProxyFixture site = ProxyFixture.quiet().start(server)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
             assertEquals(large, site.ask(HttpMessages.order("t", "4000m")).body());
             assertEquals(large, site.ask(HttpMessages.order("u", "4000m")).body());
             assertEquals(1, server.connections.get());
@@ -145,7 +145,7 @@
     void anUnreadableLoadReportSpoilsNoAnswer() throws Exception {
         try (ScriptedHttpServer server = new ScriptedHttpServer((request, peer) ->
                         peer.write(HttpMessages.answer("200 OK", "X-Pressure: TEXT %%=;{\"\r\n", "good")));
-                ProxyFixture site = ProxyFixture.quiet().start(server)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
             assertEquals("good", site.ask(HttpMessages.order("t", "4000m")).body());
         }
     }
@@ -271,7 +271,7 @@
         try (ScriptedHttpServer server = new ScriptedHttpServer((request, peer) -> peer.write(
                         "HTTP/1.1 102 Processing\r\n\r\n" + "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"
                                 + HttpMessages.ok("final")));
-                ProxyFixture site = ProxyFixture.quiet().start(server)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
             assertEquals("final", site.ask(HttpMessages.page("t")).body());
         }
     }
@@ -280,7 +280,7 @@
     void whatComesBehindAnAnswerDoesNotAnswerTheNext() throws Exception {
         try (ScriptedHttpServer server = new ScriptedHttpServer((request, peer) ->
                         peer.write(HttpMessages.ok(request.headers().get("x-txn")) + HttpMessages.ok("stray")));
-                ProxyFixture site = ProxyFixture.quiet().start(server)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
             for (int i = 0; i < 3; i++) {
                 assertEquals(
                         "t" + i,
@@ -298,8 +298,8 @@
                     }
                     peer.write(HttpMessages.ok(request.headers().get("x-txn")));
                 });
-                ProxyFixture site = ProxyFixture.quiet()) {
-            site.restUs = 3_600_000_000L;
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
+            site.connectionReuseDelayUs = 3_600_000_000L;
             site.start(server);
             assertEquals("first", site.ask(HttpMessages.order("first", "4000m")).body());
             ScriptedHttpServer.Peer first = ScriptedHttpServer.next(server.peers);
@@ -317,8 +317,8 @@
     @Test
     void aConnectionIsUsedAgainOnceItHasRested() throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.quiet()) {
-            site.restUs = 1;
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
+            site.connectionReuseDelayUs = 1;
             site.start(server);
             int asked = 0;
             // A rest may not be over as the next request comes; that none ever were would be a defect.
@@ -335,8 +335,8 @@
     @Test
     void wordOfADrainClosesWhatRests() throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.quiet()) {
-            site.restUs = 3_600_000_000L;
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
+            site.connectionReuseDelayUs = 3_600_000_000L;
             site.start(server);
             ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(site.discovery.peers);
             assertEquals(200, site.ask(HttpMessages.page("t")).status());
@@ -348,7 +348,7 @@
     @Test
     void anAttemptOutOfTimeIsGivenUpByClosingItsConnection() throws Exception {
         try (ScriptedHttpServer silent = new ScriptedHttpServer((request, peer) -> {});
-                ProxyFixture site = ProxyFixture.quiet().start(silent)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(silent)) {
             assertEquals(502, site.ask(HttpMessages.order("t", "100m")).status());
             ScriptedHttpServer.next(silent.ended);
         }
@@ -357,8 +357,8 @@
     @Test
     void theMostRecentlyUsedConnectionIsTakenAndOldOnesAreClosed() throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.quiet()) {
-            site.connIdleUs = 200_000;
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
+            site.upstreamIdleTimeoutUs = 200_000;
             site.start(server);
             assertEquals(200, site.ask(HttpMessages.page("a")).status());
             assertEquals(200, site.ask(HttpMessages.page("b")).status());
@@ -374,14 +374,14 @@
     void wordOfADrainFreesWhatAwaitsAConnection() throws Exception {
         try (HangingListener hanging = new HangingListener();
                 ScriptedHttpServer good = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.quiet()) {
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
             String hangs = "s0=" + hanging.endpoint();
-            site.startKnowing(ProxyFixture.list(1, true, hangs + "=Ready"));
+            site.startWithCachedList(ProxyFixture.list(1, true, hangs + "=Ready"));
             ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(site.discovery.peers);
             Socket client = site.connect();
             ProxyFixture.write(client, HttpMessages.order("t", "5000m"));
             // Once the answer to a later request is there, the order has been taken up and awaits its turn.
-            site.awaitRead();
+            site.awaitPriorInputRead();
             watch.write(ProxyFixture.chunk(
                     ProxyFixture.list(2, false, hangs + "=Terminating", "s1=" + good.endpoint() + "=Ready") + "\n"));
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
@@ -392,7 +392,7 @@
     void aChangedEndpointMovesNewConnections() throws Exception {
         try (ScriptedHttpServer before = ScriptedHttpServer.serving("old");
                 ScriptedHttpServer after = ScriptedHttpServer.serving("new");
-                ProxyFixture site = ProxyFixture.quiet().start(before)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(before)) {
             ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(site.discovery.peers);
             assertEquals("old", site.ask(HttpMessages.page("a")).body());
             watch.write(ProxyFixture.chunk(ProxyFixture.list(2, false, "s0=" + after.endpoint() + "=Ready") + "\n"));
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamResponseTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamResponseTest.java
@@ -36,7 +36,7 @@
                     peer.write(NO_LENGTH + body);
                     peer.socket().shutdownOutput();
                 });
-                ProxyFixture site = ProxyFixture.quiet().start(server)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
             for (int i = 0; i < 2; i++) {
                 HttpMessages.Message response = site.ask(HttpMessages.order("t" + i, "4000m"));
                 assertEquals(200, response.status());
@@ -64,12 +64,12 @@
                     ScriptedHttpServer.await(read);
                     peer.reset();
                 });
-                ProxyFixture site = ProxyFixture.quiet().start(server)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
             Socket client = site.connect();
             ProxyFixture.write(client, HttpMessages.order("t", "20000m"));
             ScriptedHttpServer.next(server.requests);
             // What has been written is read before the reset: a reset drops what waits unread.
-            site.awaitRead();
+            site.awaitPriorInputRead();
             read.countDown();
             assertEquals(502, HttpMessages.read(client.getInputStream()).status());
             assertTrue(server.requests.isEmpty(), "an order is sent once");
@@ -83,7 +83,7 @@
                     peer.write(begun);
                     peer.socket().shutdownOutput();
                 });
-                ProxyFixture site = ProxyFixture.quiet().start(server)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
             assertEquals(502, site.ask(HttpMessages.order("t", "20000m")).status());
             assertEquals(1, server.requests.size(), "an order is sent once");
         }
@@ -93,7 +93,7 @@
     void whatTheNodeGivesUpIsNotWholeByItsOwnClose() throws Exception {
         try (ScriptedHttpServer server =
                         new ScriptedHttpServer((request, peer) -> peer.write(NO_LENGTH + "some bytes"));
-                ProxyFixture site = ProxyFixture.quiet().start(server)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
             assertEquals(502, site.ask(HttpMessages.order("t", "300m")).status());
         }
     }
@@ -109,7 +109,7 @@
                     }
                     peer.write(HttpMessages.ok(request.headers().get("x-txn")));
                 });
-                ProxyFixture site = ProxyFixture.quiet().start(server)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
             Socket client = site.connect();
             assertEquals(
                     502,
@@ -133,12 +133,12 @@
                     }
                     peer.write(HttpMessages.ok(request.headers().get("x-txn")));
                 });
-                ProxyFixture site = ProxyFixture.quiet().start(server)) {
+                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
             Socket leaves = site.connect();
             ProxyFixture.write(leaves, HttpMessages.order("first", "20000m"));
             ScriptedHttpServer.next(server.requests);
             leaves.close();
-            site.awaitRead();
+            site.awaitPriorInputRead();
             left.countDown();
             assertEquals(
                     "second", site.ask(HttpMessages.order("second", "20000m")).body());
@@ -168,10 +168,10 @@
     @ValueSource(strings = {"200 OK", "500 Error", "503 Busy\r\nX-Turned-Away: 1"})
     void aResponseBeforeItsRequestIsWrittenWholeIsNotServed(String status) throws Exception {
         try (ServerSocket early = answeringAtTheFirstByte(HttpMessages.answer(status, "", "x"));
-                ProxyFixture site = ProxyFixture.quiet()) {
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
             site.settings.maxAttempts = 1;
-            site.serverChannels = () -> new StallingChannel(new CountDownLatch(1));
-            site.startKnowing(ProxyFixture.list(1, true, "s0=127.0.0.1:" + early.getLocalPort() + "=Ready"));
+            site.upstreamChannels = () -> new StallingChannel(new CountDownLatch(1));
+            site.startWithCachedList(ProxyFixture.list(1, true, "s0=127.0.0.1:" + early.getLocalPort() + "=Ready"));
             assertEquals(503, site.ask(HttpMessages.order("t", "20000m")).status(), "known never to have run");
         }
     }
@@ -182,9 +182,9 @@
     void aRequestThatIsWrittenInPartIsBrokenOffAsItsClientLeaves(boolean cancel) throws Exception {
         CountDownLatch stalled = new CountDownLatch(1);
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.quiet()) {
+                ProxyFixture site = ProxyFixture.withHeartbeat()) {
             site.settings.cancellationEnabled = cancel;
-            site.serverChannels = () -> new StallingChannel(stalled);
+            site.upstreamChannels = () -> new StallingChannel(stalled);
             site.start(server);
             Socket leaves = site.connect();
             ProxyFixture.write(leaves, HttpMessages.order("t", "3600000m"));
