--- a/src/main/java/loadbalancer/policy/model/Attempt.java
+++ b/src/main/java/loadbalancer/policy/model/Attempt.java
@@ -17,7 +17,6 @@
         this.startedAtUs = startedAtUs;
     }
 
-    /** Returns the endpoint to which the attempt is sent. */
     public Endpoint endpoint() {
         return endpoint;
     }
@@ -27,7 +26,6 @@
         return number;
     }
 
-    /** Returns the start time, by this instance's clock. */
     public long startedAtUs() {
         return startedAtUs;
     }
--- a/src/main/java/loadbalancer/policy/model/Endpoint.java
+++ b/src/main/java/loadbalancer/policy/model/Endpoint.java
@@ -54,12 +54,10 @@
         return healthByClass[classIndex];
     }
 
-    /** Returns the number of request classes. */
     public int classCount() {
         return healthByClass.length;
     }
 
-    /** Returns the concurrency limit and the count of requests in flight. */
     public EndpointConcurrency concurrency() {
         return concurrency;
     }
@@ -145,14 +143,13 @@
         activeIndex = index;
     }
 
-    /** Marks the endpoint as not active. */
     public void deactivate() {
         active = false;
     }
 
     /**
-     * Returns whether the endpoint is active and not ejected for all request classes. Only available endpoints count
-     * towards the sum of all concurrency limits.
+     * Returns whether the endpoint is active and has no ejection that applies to all request classes. Only available
+     * endpoints count towards the sum of all concurrency limits.
      */
     public boolean isAvailable() {
         return active && !health.isEjected();
--- a/src/main/java/loadbalancer/policy/model/EndpointConcurrency.java
+++ b/src/main/java/loadbalancer/policy/model/EndpointConcurrency.java
@@ -27,12 +27,10 @@
         return inFlight;
     }
 
-    /** Adds one request in flight. */
     public void incrementInFlight() {
         inFlight++;
     }
 
-    /** Subtracts one request in flight. */
     public void decrementInFlight() {
         inFlight--;
     }
@@ -68,7 +66,6 @@
         return limitReachedAtUs;
     }
 
-    /** Records that a request found no capacity. */
     public void setLimitReachedAtUs(long atUs) {
         limitReachedAtUs = atUs;
     }
@@ -86,7 +83,7 @@
     /**
      * Pauses the endpoint after an attempt. A pause that overlaps an earlier one starts at the end of the earlier one.
      *
-     * @param attemptStartedAtUs the start time of the attempt, at which the pause starts otherwise
+     * @param attemptStartedAtUs the start time of the attempt, from which a pause without overlap counts
      * @param durationUs the duration of the pause
      */
     public void pause(long attemptStartedAtUs, long durationUs) {
--- a/src/main/java/loadbalancer/policy/model/PendingRequest.java
+++ b/src/main/java/loadbalancer/policy/model/PendingRequest.java
@@ -63,12 +63,10 @@
         return request.tenant();
     }
 
-    /** Returns the settings of the request's class. */
     public RequestClass requestClass() {
         return requestClass;
     }
 
-    /** Returns the time of arrival, by this instance's clock. */
     public long arrivedAtUs() {
         return arrivedAtUs;
     }
@@ -100,7 +98,6 @@
 
     // Queueing and the final response.
 
-    /** Returns whether the request is waiting in the request queue. */
     public boolean isQueued() {
         return phase == Phase.QUEUED;
     }
@@ -162,7 +159,6 @@
         return overQuota;
     }
 
-    /** Marks the request as over its tenant's quota. */
     public void setOverQuota() {
         overQuota = true;
     }
@@ -185,17 +181,14 @@
         return streaming;
     }
 
-    /** Records that a streamed response has begun. */
     public void setStreaming() {
         streaming = true;
     }
 
-    /** Returns whether the client has closed its connection. */
     public boolean isClientDisconnected() {
         return clientDisconnected;
     }
 
-    /** Records that the client has closed its connection. */
     public void setClientDisconnected() {
         clientDisconnected = true;
     }
--- a/src/main/java/loadbalancer/policy/statistics/LatencyStatistics.java
+++ b/src/main/java/loadbalancer/policy/statistics/LatencyStatistics.java
@@ -52,7 +52,6 @@
         return lowestMeanUs[classIndex];
     }
 
-    /** Returns whether a class has any result. */
     public boolean hasResults(int classIndex) {
         return resultCounts[classIndex] > 0;
     }
