--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
@@ -312,7 +312,8 @@
 
     /** To be called on the event loop. */
     ProxyNodeCounts counts() {
-        return new ProxyNodeCounts(inFlight.size(), pool.exchanges(), downstream.connectionCount(), pool.descriptors());
+        return new ProxyNodeCounts(
+                inFlight.size(), pool.exchangeCount(), downstream.connectionCount(), pool.openDescriptorCount());
     }
 
     /** Lets go of all sockets and timers at once. */
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamChannel.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamChannel.java
@@ -7,57 +7,57 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 
 /**
- * A socket to a server. It knows whether the system has taken a message whole, and whether anything has come
- * that was not read yet.
+ * A socket channel to an endpoint. It tracks how much of the current request the operating system has accepted, and can
+ * check for unread input.
  */
 public class UpstreamChannel extends NioSocketChannel {
     private final ByteBuffer oneByte = ByteBuffer.allocate(1);
-    private boolean writtenWhole;
-    private boolean writtenInPart;
+    private boolean fullyWritten;
+    private boolean partlyWritten;
 
     /**
-     * To be called before a message is written: {@link #isWrittenWhole} and {@link #isWrittenInPart} speak of it from
-     * here on.
+     * Resets {@link #isFullyWritten} and {@link #isPartlyWritten} for the next message. The caller calls this before it
+     * writes the message.
      */
-    final void beginMessage() {
-        writtenWhole = false;
-        writtenInPart = false;
+    final void startMessage() {
+        fullyWritten = false;
+        partlyWritten = false;
     }
 
-    /** Whether the system has taken the first byte of the message. */
-    final boolean isWrittenInPart() {
-        return writtenInPart;
+    /** Returns whether the operating system has accepted at least the first byte of the message. */
+    final boolean isPartlyWritten() {
+        return partlyWritten;
     }
 
     /**
-     * Whether the system has taken the last byte of the message. Known as the write returns, whereas listeners
-     * of the write may be told in a later turn of the loop.
+     * Returns whether the operating system has accepted the last byte of the message. The value is current as soon as the
+     * write returns, whereas Netty may notify the listeners of the write in a later event loop task.
      */
-    final boolean isWrittenWhole() {
-        return writtenWhole;
+    final boolean isFullyWritten() {
+        return fullyWritten;
     }
 
     @Override
     protected final void doWrite(ChannelOutboundBuffer pending) throws Exception {
         int buffers = pending.size();
         try {
-            writeOut(pending);
+            writeToSocket(pending);
         } finally {
-            writtenWhole = pending.isEmpty();
-            writtenInPart |= pending.size() < buffers || pending.currentProgress() > 0;
+            fullyWritten = pending.isEmpty();
+            partlyWritten |= pending.size() < buffers || pending.currentProgress() > 0;
         }
     }
 
-    /** Passes on to the system as much as it takes. */
-    protected void writeOut(ChannelOutboundBuffer pending) throws Exception {
+    /** Writes as much of the pending data to the socket as the operating system accepts. */
+    protected void writeToSocket(ChannelOutboundBuffer pending) throws Exception {
         super.doWrite(pending);
     }
 
     /**
-     * Whether the connection is open and nothing is to be read on it. For use between two exchanges alone:
-     * a byte that has come, which nobody has asked for, is gone then, and the connection must be closed.
+     * Returns whether the connection is open and has no unread input. The check may consume one byte, so it is only
+     * allowed between two exchanges. If it returns false, the caller has to close the connection.
      */
-    final boolean isQuiet() {
+    final boolean hasNoUnreadInput() {
         try {
             return isActive() && javaChannel().read(oneByte.clear()) == 0;
         } catch (IOException e) {
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -20,24 +20,25 @@
 import loadbalancer.proxy.resources.ConnectionLimits;
 
 /**
- * A connection to a server; it carries one exchange at a time.
+ * A connection to an endpoint. It carries one exchange at a time.
  *
- * <p>An exchange ends here in one way only, {@link #end}, and before the connection is closed. So nothing that
- * the decoder says as a connection goes down can pass for the end of a response: a body that the connection's
- * end delimits is whole only where the server ended its sending.
+ * <p>An exchange that is not abandoned always completes in {@link #completeExchange}. The connection enters the state
+ * CLOSED before it closes its channel, and ignores all messages in that state. The decoder may emit the end of a
+ * response when the channel closes, and this must not complete an exchange: a body without a length is complete only if
+ * the endpoint has shut down its output.
  */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
-    /** Where a connection stands. */
+    /** The states of a connection. */
     private enum State {
-        /** Open, and may take an exchange. */
+        /** Open and available for an exchange. */
         IDLE,
         /** Carries an exchange. */
         ACTIVE,
-        /** The response has come whole; what else has come behind it is still to be read. */
-        ANSWERED,
-        /** Carries nothing for a while, so that a second response is not taken for that to the next request. */
-        RESTING,
-        /** Closed, or about to be. */
+        /** The response is complete, but input that arrived with it may still be unread. */
+        RESPONSE_RECEIVED,
+        /** Waits for the reuse delay, so that a surplus response is not taken for the response to the next request. */
+        REUSE_DELAYED,
+        /** Closed, or about to be closed. */
         CLOSED
     }
 
@@ -60,23 +61,24 @@
         this.channel = channel;
     }
 
-    private void enter(State next, State... from) {
+    private void transitionTo(State next, State... from) {
         for (State allowed : from) {
             if (state == allowed) {
                 state = next;
                 return;
             }
         }
-        throw new IllegalStateException("connection to server " + upstream.id + " goes from " + state + " to " + next);
+        throw new IllegalStateException(
+                "illegal transition of connection to endpoint " + upstream.id + " from " + state + " to " + next);
     }
 
-    /** Whether it leads to the process that the list names, and that wants requests. */
+    /** Returns whether the connection is open, leads to the endpoint's current process, and the endpoint is ready. */
     boolean isUsable() {
         return channel.isActive() && upstream.isReady() && generation == upstream.generation();
     }
 
-    boolean isQuiet() {
-        return channel.isQuiet();
+    boolean hasNoUnreadInput() {
+        return channel.hasNoUnreadInput();
     }
 
     long idleSinceUs() {
@@ -85,70 +87,77 @@
 
     // ---------------------------------------------------------------- requests
 
-    /** Takes up what awaits a connection, or stays idle. Closes where it cannot be used. */
-    void offer() {
-        if (!isUsable() || !channel.isQuiet()) {
+    /**
+     * Makes this connection available: starts the next pending exchange on it, or adds it to the idle connections.
+     * Closes the connection if it cannot be used.
+     */
+    void makeAvailable() {
+        if (!isUsable() || !channel.hasNoUnreadInput()) {
             close();
-            // Its dial was for one that still waits, perhaps at an address that has changed since.
+            // If this connection was just opened, an exchange may still wait for it. The endpoint's address may have
+            // changed during the connect.
             if (upstream.isReady()) {
-                upstream.failOneWithoutDial();
+                upstream.failOneWithoutConnect();
             }
             return;
         }
-        enter(State.IDLE, State.IDLE, State.ANSWERED, State.RESTING);
+        transitionTo(State.IDLE, State.IDLE, State.RESPONSE_RECEIVED, State.REUSE_DELAYED);
         idleSinceUs = pool.nowUs();
-        upstream.idle.push(this);
+        upstream.idleConnections.push(this);
         UpstreamExchange next;
-        while ((next = upstream.awaiting.poll()) != null) {
-            if (pool.maySend(next)) {
-                carry(next);
+        while ((next = upstream.pendingExchanges.poll()) != null) {
+            if (pool.isSendAllowed(next)) {
+                send(next);
                 return;
             }
             next.onCompleted(AttemptResult.NOT_SENT, NO_BODY);
         }
     }
 
-    /** Sends the exchange's message. */
-    void carry(UpstreamExchange next) {
-        // First, as a message that cannot be made must not cost the connection.
+    /** Starts an exchange on this idle connection and writes its request. */
+    void send(UpstreamExchange next) {
+        // The request is created first, so that an exception in its creation leaves the connection idle.
         FullHttpRequest message = next.createRequest();
-        upstream.idle.remove(this);
-        enter(State.ACTIVE, State.IDLE);
+        upstream.idleConnections.remove(this);
+        transitionTo(State.ACTIVE, State.IDLE);
         exchange = next;
         pool.onExchangeStarted(this, next);
-        channel.beginMessage();
+        channel.startMessage();
         channel.writeAndFlush(message).addListener(done -> {
             if (!done.isSuccess() && exchange == next) {
-                breakOff("write failed");
+                fail("write of the request failed");
             }
         });
     }
 
-    /** Whether its request may be running: the system has taken all of it. */
-    boolean mayHaveSentWhole() {
-        return channel.isWrittenWhole();
+    /** Returns whether the whole request is written, so that the endpoint may be executing it. */
+    boolean isRequestFullyWritten() {
+        return channel.isFullyWritten();
     }
 
-    /** Ends an exchange of which nothing has left, as with a full buffer, if its server must get no more requests. */
+    /**
+     * Completes the exchange as not sent if the endpoint must not get requests any more and no byte of the request is
+     * written yet, as happens with a full send buffer.
+     */
     void withdrawUnsent() {
-        boolean mayLeave = pool.isLeaseHeld() && upstream.isReady();
-        if (!mayLeave && state == State.ACTIVE && !channel.isWrittenInPart()) {
+        boolean isSendAllowed = pool.isLeaseHeld() && upstream.isReady();
+        if (!isSendAllowed && state == State.ACTIVE && !channel.isPartlyWritten()) {
             close();
-            end(AttemptResult.NOT_SENT, NO_BODY);
+            completeExchange(AttemptResult.NOT_SENT, NO_BODY);
         }
     }
 
-    /** Closes without a word on the exchange, which is given up. */
+    /** Closes the connection without completing its exchange, which the caller has given up. */
     void abandon() {
         exchange = null;
         close();
     }
 
     void close() {
-        enter(State.CLOSED, State.values());
+        transitionTo(State.CLOSED, State.values());
         discardResponse();
-        upstream.idle.remove(this);
-        upstream.resting.remove(this);
+        upstream.idleConnections.remove(this);
+        upstream.reuseDelayedConnections.remove(this);
         channel.close();
     }
 
@@ -167,35 +176,36 @@
 
     private void read(HttpObject message) {
         if (state != State.ACTIVE || message.decoderResult().isFailure()) {
-            // Nobody has asked for it, or it cannot be read: what follows cannot be told from a response.
-            breakOff("unexpected or unreadable bytes");
+            // After unsolicited or malformed input, later responses cannot be matched to requests.
+            fail("unsolicited or malformed response");
             return;
         }
-        if (message instanceof HttpResponse head && !begin(head)) {
+        if (message instanceof HttpResponse head && !onResponseHead(head)) {
             return;
         }
         if (message instanceof HttpContent content && response != null) {
             if (!append(content)) {
-                breakOff("response too long");
+                fail("response body exceeds the limit of one response or of all buffered responses");
             } else if (message instanceof LastHttpContent) {
-                answered();
+                onResponseComplete();
             }
         }
     }
 
-    /** The head of a response. False if nothing more is wanted of it. */
-    private boolean begin(HttpResponse head) {
+    /** Handles the head of a response. Returns false if the connection is closed and the rest is ignored. */
+    private boolean onResponseHead(HttpResponse head) {
         if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
             return true;
         }
-        if (!channel.isWrittenWhole()) {
-            // A server begins a request at its last byte, which it never gets now.
+        if (!channel.isFullyWritten()) {
+            // An endpoint starts to execute a request only after its last byte, which it does not get any more.
             close();
-            end(UpstreamResponse.isTurnedAway(head) ? AttemptResult.REJECTED : AttemptResult.CONNECT_FAILED, NO_BODY);
+            completeExchange(
+                    UpstreamResponse.isRejected(head) ? AttemptResult.REJECTED : AttemptResult.CONNECT_FAILED, NO_BODY);
             return false;
         }
         if (UpstreamResponse.isTooLong(head)) {
-            breakOff("response too long");
+            fail("content length exceeds the limit of " + ConnectionLimits.MAX_RESPONSE_BODY_BYTES + " bytes");
             return false;
         }
         response = new UpstreamResponse(head);
@@ -211,59 +221,62 @@
         return true;
     }
 
-    private void answered() {
+    private void onResponseComplete() {
         AttemptResult result = response.result();
         byte[] body = result == AttemptResult.OK ? response.body() : NO_BODY;
-        if (response.keepsConnection()) {
-            enter(State.ANSWERED, State.ACTIVE);
+        if (response.allowsConnectionReuse()) {
+            transitionTo(State.RESPONSE_RECEIVED, State.ACTIVE);
             discardResponse();
         } else {
             close();
         }
-        end(result, body);
+        completeExchange(result, body);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
-        // Not before all that came is read, nor for a while: what comes behind the response must not answer
-        // the next request.
-        if (state == State.ANSWERED) {
-            rest();
+        // The connection is reused only after all available input is read and the reuse delay is over, so that surplus
+        // input after the response is not taken for the response to the next request.
+        if (state == State.RESPONSE_RECEIVED) {
+            delayReuse();
         }
     }
 
-    private void rest() {
+    private void delayReuse() {
         if (pool.reuseDelayUs() == 0) {
-            offer();
+            makeAvailable();
             return;
         }
-        enter(State.RESTING, State.ANSWERED);
-        upstream.resting.add(this);
+        transitionTo(State.REUSE_DELAYED, State.RESPONSE_RECEIVED);
+        upstream.reuseDelayedConnections.add(this);
         channel.eventLoop()
                 .schedule(
                         () -> {
-                            if (upstream.resting.remove(this)) {
-                                offer();
+                            if (upstream.reuseDelayedConnections.remove(this)) {
+                                makeAvailable();
                             }
                         },
                         pool.reuseDelayUs(),
                         TimeUnit.MICROSECONDS);
     }
 
-    // ---------------------------------------------------------------- ends
+    // ---------------------------------------------------------------- completion and failures
 
-    /** The connection is of no more use; the exchange has failed, and may have run if it was sent whole. */
-    private void breakOff(String reason) {
-        EventLog.requestEvent(() -> LogEvent.named("server_connection_closed")
-                .with("server", upstream.id)
+    /**
+     * Closes the connection and fails its exchange. The endpoint may have executed the request only if the request was
+     * fully written.
+     */
+    private void fail(String reason) {
+        EventLog.requestEvent(() -> LogEvent.named("upstream_connection_closed")
+                .with("endpoint", upstream.id)
                 .with("state", state)
                 .with("reason", reason));
-        AttemptResult result = channel.isWrittenWhole() ? AttemptResult.RESET : AttemptResult.CONNECT_FAILED;
+        AttemptResult result = channel.isFullyWritten() ? AttemptResult.RESET : AttemptResult.CONNECT_FAILED;
         close();
-        end(result, NO_BODY);
+        completeExchange(result, NO_BODY);
     }
 
-    private void end(AttemptResult result, byte[] body) {
+    private void completeExchange(AttemptResult result, byte[] body) {
         UpstreamExchange ended = exchange;
         exchange = null;
         if (ended != null) {
@@ -279,28 +292,31 @@
         }
     }
 
-    /** The server has ended its sending. A body without a length is whole by it; the decoder has said so. */
+    /**
+     * Closes the connection when the endpoint has shut down its output. If this completes a body without a length, the
+     * decoder has already emitted the end of the response.
+     */
     @Override
     public void userEventTriggered(ChannelHandlerContext context, Object event) {
         if (event instanceof ChannelInputShutdownEvent && state != State.CLOSED) {
-            breakOff("server ended its sending");
+            fail("endpoint shut down its output");
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         if (state != State.CLOSED) {
-            breakOff("connection ended");
+            fail("connection closed by the endpoint");
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            EventLog.error("connection to server " + upstream.id, cause);
+            EventLog.error("unexpected exception on the connection to endpoint " + upstream.id, cause);
         }
         if (state != State.CLOSED) {
-            breakOff("connection failed: " + cause.getMessage());
+            fail("connection failed: " + cause.getMessage());
         }
     }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -21,47 +21,50 @@
 import loadbalancer.proxy.resources.DescriptorBudget;
 import loadbalancer.proxy.resources.HeapBuffers;
 
-/** The connections to servers: one exchange at a time on each, the most recently used first. */
+/** The connections to endpoints, each with one exchange at a time; the most recently used idle one is reused first. */
 public final class UpstreamConnectionPool {
     private static final byte[] NO_BODY = {};
 
-    private final Bootstrap dialer;
-    private final EventLoop loop;
-    private final DescriptorBudget sockets;
+    private final Bootstrap bootstrap;
+    private final EventLoop eventLoop;
+    private final DescriptorBudget descriptorBudget;
     private final long idleTimeoutUs;
     private final long reuseDelayUs;
     private final Clock clock;
-    private final Map<String, UpstreamEndpoint> upstreams = new HashMap<>();
-    /** The connections that carry an exchange. */
-    private final Map<UpstreamExchange, UpstreamConnection> carriers = new HashMap<>();
-    /** From then on no request may leave, as nothing vouches for the list. */
-    private long routeUntilUs = Long.MAX_VALUE;
-    /** How much of responses has come that have not ended yet. */
-    private int responseBytes;
+    private final Map<String, UpstreamEndpoint> endpointsById = new HashMap<>();
+    /** The exchanges under way, each with its connection. */
+    private final Map<UpstreamExchange, UpstreamConnection> connectionsByExchange = new HashMap<>();
+    /** The time when the lease on the endpoint list expires; no request is sent from then on. */
+    private long leaseExpiresAtUs = Long.MAX_VALUE;
+    /** The buffered bytes of all incomplete response bodies. */
+    private int bufferedResponseBytes;
 
     /**
-     * Connections carry nothing for {@code restUs} after a response. The factory throws where there is no
-     * descriptor for another channel.
+     * Creates a pool without endpoints.
+     *
+     * @param connIdleUs the time for which endpoints keep idle connections open
+     * @param reuseDelayUs the time after a response for which a connection carries no new exchange
+     * @param channels creates the channels; throws an exception if no file descriptor is available
      */
     public UpstreamConnectionPool(
-            EventLoop loop,
-            DescriptorBudget sockets,
+            EventLoop eventLoop,
+            DescriptorBudget descriptorBudget,
             Clock clock,
             long connectTimeoutUs,
             long connIdleUs,
-            long restUs,
+            long reuseDelayUs,
             ChannelFactory<UpstreamChannel> channels) {
-        this.loop = loop;
-        this.sockets = sockets;
+        this.eventLoop = eventLoop;
+        this.descriptorBudget = descriptorBudget;
         this.clock = clock;
         this.idleTimeoutUs = connIdleUs;
-        this.reuseDelayUs = restUs;
-        dialer = new Bootstrap()
-                .group(loop)
+        this.reuseDelayUs = reuseDelayUs;
+        bootstrap = new Bootstrap()
+                .group(eventLoop)
                 .channelFactory(channels)
                 .option(ChannelOption.ALLOCATOR, HeapBuffers.ALLOCATOR)
                 .option(ChannelOption.TCP_NODELAY, true)
-                // The end of what a server sends and a reset are two events, as only one of them ends a body.
+                // Tells a shutdown of the endpoint's output from a reset: only the former may complete a body.
                 .option(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, connectTimeoutUs / 1_000))
                 .handler(new ChannelInitializer<SocketChannel>() {
@@ -72,22 +75,22 @@
                 });
     }
 
-    // ---------------------------------------------------------------- the list
+    // ---------------------------------------------------------------- endpoint list and lease
 
-    /** Follows the list. Word of a drain takes effect at once, also for what awaits a connection. */
+    /** Applies an endpoint list. Draining and removed endpoints get no more requests, not even pending ones. */
     public void onEndpointList(EndpointList list) {
-        Map<String, UpstreamEndpoint> missing = list.isComplete() ? new HashMap<>(upstreams) : Map.of();
-        for (EndpointList.AddressedEndpoint host : list.endpoints()) {
-            String id = host.entry().id();
+        Map<String, UpstreamEndpoint> missing = list.isComplete() ? new HashMap<>(endpointsById) : Map.of();
+        for (EndpointList.AddressedEndpoint listedEndpoint : list.endpoints()) {
+            String id = listedEndpoint.entry().id();
             if (list.isComplete()) {
                 missing.remove(id);
             }
-            if (host.entry().state() == EndpointState.REMOVED) {
+            if (listedEndpoint.entry().state() == EndpointState.REMOVED) {
                 remove(id);
             } else {
-                upstreams
+                endpointsById
                         .computeIfAbsent(id, UpstreamEndpoint::new)
-                        .follow(host, host.entry().state() == EndpointState.READY);
+                        .update(listedEndpoint, listedEndpoint.entry().state() == EndpointState.READY);
             }
         }
         missing.keySet().forEach(this::remove);
@@ -95,152 +98,152 @@
     }
 
     private void remove(String id) {
-        UpstreamEndpoint upstream = upstreams.remove(id);
+        UpstreamEndpoint upstream = endpointsById.remove(id);
         if (upstream != null) {
             upstream.remove();
         }
     }
 
-    /** Ends what is carried, may not leave any more, and has not begun to. */
+    /** Completes as not sent all exchanges that must not be sent any more and have not written a byte. */
     private void withdrawUnsent() {
-        List.copyOf(carriers.values()).forEach(UpstreamConnection::withdrawUnsent);
+        List.copyOf(connectionsByExchange.values()).forEach(UpstreamConnection::withdrawUnsent);
     }
 
-    /** The list may be used until a time. Once that is past, what has not left for a server never does. */
+    /** Sets when the lease expires. If it has expired, completes all exchanges without a written byte as not sent. */
     public void setLeaseEnd(long untilUs) {
-        routeUntilUs = untilUs;
+        leaseExpiresAtUs = untilUs;
         if (!isLeaseHeld()) {
-            upstreams.values().forEach(UpstreamEndpoint::turnAwayAll);
+            endpointsById.values().forEach(UpstreamEndpoint::endPendingExchanges);
             withdrawUnsent();
         }
     }
 
-    /** Whether a request may leave now. */
+    /** Returns whether the node holds a lease on the endpoint list, without which it sends no request. */
     public boolean isLeaseHeld() {
-        return clock.nowUs() < routeUntilUs;
+        return clock.nowUs() < leaseExpiresAtUs;
     }
 
-    /** Whether an exchange may leave for a server that is ready. */
-    boolean maySend(UpstreamExchange exchange) {
+    /** Returns whether an exchange may be sent to an endpoint that is ready. */
+    boolean isSendAllowed(UpstreamExchange exchange) {
         return isLeaseHeld() && exchange.isActive();
     }
 
     // ---------------------------------------------------------------- exchanges
 
-    /** Starts an exchange; the connection that carries it tells its end. */
-    public void start(String serverId, UpstreamExchange exchange) {
-        UpstreamEndpoint upstream = upstreams.get(serverId);
-        if (upstream == null || !upstream.isReady() || !maySend(exchange)) {
+    /** Starts an exchange on an idle or a new connection. May complete the exchange before this method returns. */
+    public void start(String endpointId, UpstreamExchange exchange) {
+        UpstreamEndpoint upstream = endpointsById.get(endpointId);
+        if (upstream == null || !upstream.isReady() || !isSendAllowed(exchange)) {
             exchange.onCompleted(AttemptResult.NOT_SENT, NO_BODY);
             return;
         }
-        UpstreamConnection free;
-        while ((free = upstream.idle.peek()) != null) {
-            if (free.isQuiet()) {
-                free.carry(exchange);
+        UpstreamConnection idleConnection;
+        while ((idleConnection = upstream.idleConnections.peek()) != null) {
+            if (idleConnection.hasNoUnreadInput()) {
+                idleConnection.send(exchange);
                 return;
             }
-            // What has come behind the last response, or the end of the connection, waits to be read: it would
-            // pass for the response to this request, or reset it.
-            free.close();
+            // Surplus input would be taken for the response to this request, and a connection that the endpoint has
+            // closed would reset it.
+            idleConnection.close();
         }
-        if (!sockets.hasCapacityForUpstream() && !closeOldestIdle()) {
+        if (!descriptorBudget.hasCapacityForUpstream() && !closeOldestIdle()) {
             exchange.onCompleted(AttemptResult.CONNECT_FAILED, NO_BODY);
             return;
         }
-        upstream.awaiting.add(exchange);
-        dial(upstream);
+        upstream.pendingExchanges.add(exchange);
+        connect(upstream);
     }
 
-    /** Gives an exchange up without telling its end. True if its request may have been written whole. */
-    public boolean abandon(String serverId, UpstreamExchange exchange) {
-        UpstreamEndpoint upstream = upstreams.get(serverId);
-        if (upstream != null && upstream.awaiting.remove(exchange)) {
+    /** Gives up an exchange without completing it. Returns whether its request was fully written and may have run. */
+    public boolean abandon(String endpointId, UpstreamExchange exchange) {
+        UpstreamEndpoint upstream = endpointsById.get(endpointId);
+        if (upstream != null && upstream.pendingExchanges.remove(exchange)) {
             return false;
         }
-        UpstreamConnection connection = carriers.remove(exchange);
+        UpstreamConnection connection = connectionsByExchange.remove(exchange);
         if (connection == null) {
             return false;
         }
-        boolean mayHaveRun = connection.mayHaveSentWhole();
+        boolean mayHaveRun = connection.isRequestFullyWritten();
         connection.abandon();
         return mayHaveRun;
     }
 
     /**
-     * Gives an exchange up, without telling its end, if its request is not written whole: a server that never
-     * gets its last byte never begins it.
+     * Gives up an exchange without completing it, unless its request is fully written. An endpoint does not start to
+     * execute a request before its last byte.
      *
-     * @return false if it is written whole
+     * @return false if the request is fully written and the exchange continues
      */
-    public boolean withdraw(String serverId, UpstreamExchange exchange) {
-        UpstreamConnection connection = carriers.get(exchange);
-        if (connection != null && connection.mayHaveSentWhole()) {
+    public boolean withdraw(String endpointId, UpstreamExchange exchange) {
+        UpstreamConnection connection = connectionsByExchange.get(exchange);
+        if (connection != null && connection.isRequestFullyWritten()) {
             return false;
         }
-        abandon(serverId, exchange);
+        abandon(endpointId, exchange);
         return true;
     }
 
     void onExchangeStarted(UpstreamConnection connection, UpstreamExchange exchange) {
-        carriers.put(exchange, connection);
+        connectionsByExchange.put(exchange, connection);
     }
 
     void onExchangeEnded(UpstreamExchange exchange) {
-        carriers.remove(exchange);
+        connectionsByExchange.remove(exchange);
     }
 
-    private void dial(UpstreamEndpoint upstream) {
-        upstream.dialing++;
-        sockets.onUpstreamOpened();
+    private void connect(UpstreamEndpoint upstream) {
+        upstream.connectsUnderWay++;
+        descriptorBudget.onUpstreamOpened();
         int generation = upstream.generation();
-        ChannelFuture opening = dialer.connect(upstream.endpoint());
-        // Also a dial that fails on the spot is heard of from the loop, never from inside this call.
-        opening.addListener(done -> loop.execute(() -> dialed(upstream, generation, opening)));
+        ChannelFuture connecting = bootstrap.connect(upstream.address());
+        // A connect may fail at once; its result is handled in a later event loop task, never inside this call.
+        connecting.addListener(done -> eventLoop.execute(() -> onConnectCompleted(upstream, generation, connecting)));
     }
 
-    private void dialed(UpstreamEndpoint upstream, int generation, ChannelFuture opening) {
-        upstream.dialing--;
-        if (opening.isSuccess()) {
-            opening.channel().closeFuture().addListener(closed -> sockets.onUpstreamClosed());
+    private void onConnectCompleted(UpstreamEndpoint upstream, int generation, ChannelFuture connected) {
+        upstream.connectsUnderWay--;
+        if (connected.isSuccess()) {
+            connected.channel().closeFuture().addListener(closed -> descriptorBudget.onUpstreamClosed());
             UpstreamConnection connection =
-                    new UpstreamConnection(this, upstream, generation, (UpstreamChannel) opening.channel());
-            opening.channel().pipeline().addLast(connection);
-            connection.offer();
+                    new UpstreamConnection(this, upstream, generation, (UpstreamChannel) connected.channel());
+            connected.channel().pipeline().addLast(connection);
+            connection.makeAvailable();
             return;
         }
-        // Not by the end of its channel: where no descriptor could be had there is none that could end.
-        sockets.onUpstreamClosed();
-        // One dial was made for each that waits; some may have found a connection that came free.
-        upstream.failOneWithoutDial();
+        // Not in a listener of the channel's closure: without a descriptor no channel exists that could be closed.
+        descriptorBudget.onUpstreamClosed();
+        // Each pending exchange started one connect, but some of them may have taken a connection that became idle.
+        upstream.failOneWithoutConnect();
     }
 
-    // ---------------------------------------------------------------- counts and bounds
+    // ---------------------------------------------------------------- counts and limits
 
-    /** How many exchanges are carried or await a connection. */
-    public int exchanges() {
-        return carriers.size()
-                + upstreams.values().stream()
-                        .mapToInt(upstream -> upstream.awaiting.size())
+    /** Returns the number of exchanges that are under way or wait for a connection. */
+    public int exchangeCount() {
+        return connectionsByExchange.size()
+                + endpointsById.values().stream()
+                        .mapToInt(upstream -> upstream.pendingExchanges.size())
                         .sum();
     }
 
-    /** How many descriptors clients and servers hold. */
-    public int descriptors() {
-        return sockets.openSockets();
+    /** Returns the number of file descriptors that client and upstream connections hold. */
+    public int openDescriptorCount() {
+        return descriptorBudget.openSockets();
     }
 
-    /** False if responses under way would take more memory than they may together. */
+    /** Reserves buffer memory; returns false if all incomplete responses together would exceed the limit. */
     boolean reserveResponseBytes(int bytes) {
-        if (responseBytes + bytes > ConnectionLimits.MAX_BUFFERED_RESPONSE_BYTES) {
+        if (bufferedResponseBytes + bytes > ConnectionLimits.MAX_BUFFERED_RESPONSE_BYTES) {
             return false;
         }
-        responseBytes += bytes;
+        bufferedResponseBytes += bytes;
         return true;
     }
 
     void releaseResponseBytes(int bytes) {
-        responseBytes -= bytes;
+        bufferedResponseBytes -= bytes;
     }
 
     long nowUs() {
@@ -253,31 +256,34 @@
 
     // ---------------------------------------------------------------- idle connections
 
-    public void closeIdleConnections(String serverId) {
-        UpstreamEndpoint upstream = upstreams.get(serverId);
+    /** Closes all connections to an endpoint that carry no exchange; does nothing for an unknown endpoint. */
+    public void closeIdleConnections(String endpointId) {
+        UpstreamEndpoint upstream = endpointsById.get(endpointId);
         if (upstream != null) {
             upstream.closeUnused(true);
         }
     }
 
+    /** Removes all endpoints. Exchanges that are under way continue; those that wait for a connection are not sent. */
     public void close() {
-        List.copyOf(upstreams.keySet()).forEach(this::remove);
+        List.copyOf(endpointsById.keySet()).forEach(this::remove);
     }
 
-    /** Closes what has been idle for half of what servers allow: a request that met their close resets. */
+    /** Closes connections idle for half the time that endpoints allow: their close would reset a concurrent request. */
     public void closeExpired() {
-        long before = clock.nowUs() - idleTimeoutUs / 2;
-        for (UpstreamEndpoint upstream : upstreams.values()) {
-            while (!upstream.idle.isEmpty() && upstream.idle.peekLast().idleSinceUs() < before) {
-                upstream.idle.peekLast().close();
+        long idleLimitUs = clock.nowUs() - idleTimeoutUs / 2;
+        for (UpstreamEndpoint upstream : endpointsById.values()) {
+            while (!upstream.idleConnections.isEmpty()
+                    && upstream.idleConnections.peekLast().idleSinceUs() < idleLimitUs) {
+                upstream.idleConnections.peekLast().close();
             }
         }
     }
 
     private boolean closeOldestIdle() {
         UpstreamConnection oldest = null;
-        for (UpstreamEndpoint upstream : upstreams.values()) {
-            UpstreamConnection last = upstream.idle.peekLast();
+        for (UpstreamEndpoint upstream : endpointsById.values()) {
+            UpstreamConnection last = upstream.idleConnections.peekLast();
             if (last != null && (oldest == null || last.idleSinceUs() < oldest.idleSinceUs())) {
                 oldest = last;
             }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
@@ -10,21 +10,22 @@
 import loadbalancer.policy.AttemptResult;
 import loadbalancer.proxy.config.EndpointList;
 
-/** A server of the list with the connections to it that carry nothing, and what awaits a connection. */
+/** An endpoint of the list, its connections without an exchange, and the exchanges that wait for a connection. */
 final class UpstreamEndpoint {
     private static final byte[] NO_BODY = {};
 
     final String id;
-    /** Ready for an exchange, the most recently used first. */
-    final ArrayDeque<UpstreamConnection> idle = new ArrayDeque<>();
-    /** Those whose last response is too recent for another exchange. */
-    final Set<UpstreamConnection> resting = new LinkedHashSet<>();
-    /** Exchanges for which a connection is being opened; they take the first that is free. */
-    final ArrayDeque<UpstreamExchange> awaiting = new ArrayDeque<>();
+    /** Connections that are available for an exchange, the most recently used first. */
+    final ArrayDeque<UpstreamConnection> idleConnections = new ArrayDeque<>();
+    /** Connections whose reuse delay after the last response is not over. */
+    final Set<UpstreamConnection> reuseDelayedConnections = new LinkedHashSet<>();
+    /** Exchanges that wait for a connection, in order of arrival. Each new or free connection takes the first. */
+    final ArrayDeque<UpstreamExchange> pendingExchanges = new ArrayDeque<>();
 
-    int dialing;
+    /** The number of connects under way. */
+    int connectsUnderWay;
 
-    private InetSocketAddress endpoint;
+    private InetSocketAddress address;
     private long startedAtUs;
     private int generation;
     private boolean ready;
@@ -34,27 +35,27 @@
     }
 
     /**
-     * Follows the list's entry. A new address or start time is another process, and so another generation:
-     * connections of an earlier one are of no more use. Times of different machines are never compared, as
-     * a wall clock may have been stepped between them.
+     * Applies the entry of the endpoint list. A new address or start time means another process, which gets a new
+     * generation number; connections of earlier generations are not used any more. Start times are only compared for
+     * equality, never for order, because wall clocks of different machines differ and may be stepped.
      */
-    void follow(EndpointList.AddressedEndpoint host, boolean isReady) {
-        if (!host.address().equals(endpoint) || host.entry().startedAtUs() != startedAtUs) {
+    void update(EndpointList.AddressedEndpoint listedEndpoint, boolean isReady) {
+        if (!listedEndpoint.address().equals(address) || listedEndpoint.entry().startedAtUs() != startedAtUs) {
             generation++;
         }
-        endpoint = host.address();
-        startedAtUs = host.entry().startedAtUs();
+        address = listedEndpoint.address();
+        startedAtUs = listedEndpoint.entry().startedAtUs();
         ready = isReady;
         if (!ready) {
-            turnAwayAll();
+            endPendingExchanges();
         }
         closeUnused(false);
     }
 
-    /** The server is no longer in the list. */
+    /** Stops the use of an endpoint that is no longer in the list. */
     void remove() {
         ready = false;
-        turnAwayAll();
+        endPendingExchanges();
         closeUnused(true);
     }
 
@@ -62,32 +63,32 @@
         return ready;
     }
 
-    InetSocketAddress endpoint() {
-        return endpoint;
+    InetSocketAddress address() {
+        return address;
     }
 
     int generation() {
         return generation;
     }
 
-    /** Closes connections that carry nothing: all of them, or those that are not usable any more. */
+    /** Closes connections without an exchange: all of them, or only those that are not usable any more. */
     void closeUnused(boolean all) {
-        List<UpstreamConnection> unused = new ArrayList<>(idle);
-        unused.addAll(resting);
+        List<UpstreamConnection> unused = new ArrayList<>(idleConnections);
+        unused.addAll(reuseDelayedConnections);
         unused.stream().filter(connection -> all || !connection.isUsable()).forEach(UpstreamConnection::close);
     }
 
-    /** Fails one exchange if more await a connection than connections are being opened. */
-    void failOneWithoutDial() {
-        if (awaiting.size() > dialing) {
-            awaiting.poll().onCompleted(AttemptResult.CONNECT_FAILED, NO_BODY);
+    /** Fails the first pending exchange if more exchanges wait for a connection than connects are under way. */
+    void failOneWithoutConnect() {
+        if (pendingExchanges.size() > connectsUnderWay) {
+            pendingExchanges.poll().onCompleted(AttemptResult.CONNECT_FAILED, NO_BODY);
         }
     }
 
-    /** Ends what awaits a connection to a server that must get nothing new: it never ran. */
-    void turnAwayAll() {
+    /** Completes all pending exchanges as not sent, because the endpoint must not get new requests. */
+    void endPendingExchanges() {
         UpstreamExchange exchange;
-        while ((exchange = awaiting.poll()) != null) {
+        while ((exchange = pendingExchanges.poll()) != null) {
             exchange.onCompleted(AttemptResult.NOT_SENT, NO_BODY);
         }
     }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamExchange.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamExchange.java
@@ -4,14 +4,18 @@
 
 import loadbalancer.policy.AttemptResult;
 
-/** One request to a server and the response that it waits for. */
+/** One request to an endpoint, with its response. */
 public interface UpstreamExchange {
-    /** Whether it may still be sent: its client waits for it and its time is not over. */
+    /** Returns whether the request may still be sent: the client waits for it and its time is not over. */
     boolean isActive();
 
-    /** The message; asked for once, when a connection is there to carry it. */
+    /** Creates the request message. The pool calls this at most once, when a connection is available. */
     FullHttpRequest createRequest();
 
-    /** Its one end. The body is the server's where the result is OK, else it is empty. */
+    /**
+     * Completes the exchange. The pool calls this at most once, and never after the exchange was abandoned.
+     *
+     * @param body the body of the endpoint's response if the result is OK, otherwise empty
+     */
     void onCompleted(AttemptResult result, byte[] body);
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamResponse.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamResponse.java
@@ -9,31 +9,31 @@
 import loadbalancer.proxy.resources.ConnectionLimits;
 import loadbalancer.proxy.resources.HeapBuffers;
 
-/** A server's response as far as it has come. */
+/** An endpoint's response, as far as it is received. */
 final class UpstreamResponse {
-    private static final String TURNED_AWAY = "X-Turned-Away";
-    private static final long UNKNOWN_LENGTH = 256;
+    private static final String REJECTED_HEADER = "X-Turned-Away";
+    private static final long DEFAULT_LENGTH_BYTES = 256;
 
     private final HttpResponse head;
     private final ByteBuf body;
 
     UpstreamResponse(HttpResponse head) {
         this.head = head;
-        long length = HttpUtil.getContentLength(head, UNKNOWN_LENGTH);
+        long length = HttpUtil.getContentLength(head, DEFAULT_LENGTH_BYTES);
         body = HeapBuffers.ALLOCATOR.buffer((int) Math.min(length, ConnectionLimits.INITIAL_RESPONSE_BUFFER_BYTES));
     }
 
-    /** Whether the head alone says that the body is past all bounds. */
+    /** Returns whether the length in the head exceeds the limit for response bodies. */
     static boolean isTooLong(HttpResponse head) {
-        return HttpUtil.getContentLength(head, UNKNOWN_LENGTH) > ConnectionLimits.MAX_RESPONSE_BODY_BYTES;
+        return HttpUtil.getContentLength(head, DEFAULT_LENGTH_BYTES) > ConnectionLimits.MAX_RESPONSE_BODY_BYTES;
     }
 
-    /** Whether only the end of the connection ends the body. */
+    /** Returns whether the body has no length and no chunks, so that only the end of the connection delimits it. */
     private boolean isDelimitedByClose() {
         return !HttpUtil.isContentLengthSet(head) && !HttpUtil.isTransferEncodingChunked(head);
     }
 
-    boolean keepsConnection() {
+    boolean allowsConnectionReuse() {
         return HttpUtil.isKeepAlive(head) && !isDelimitedByClose();
     }
 
@@ -49,17 +49,17 @@
         return ByteBufUtil.getBytes(body);
     }
 
-    /** What the response says of its attempt. */
+    /** Returns the result of the attempt according to the response. */
     AttemptResult result() {
         if (head.status().code() == 200) {
             return AttemptResult.OK;
         }
-        return isTurnedAway(head) ? AttemptResult.REJECTED : AttemptResult.ERROR;
+        return isRejected(head) ? AttemptResult.REJECTED : AttemptResult.ERROR;
     }
 
-    /** Whether the server says that it has not begun the request. */
-    static boolean isTurnedAway(HttpResponse head) {
+    /** Returns whether the endpoint states that it has not executed the request. */
+    static boolean isRejected(HttpResponse head) {
         int status = head.status().code();
-        return (status == 503 || status == 504) && "1".equals(head.headers().get(TURNED_AWAY));
+        return (status == 503 || status == 504) && "1".equals(head.headers().get(REJECTED_HEADER));
     }
 }
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamResponseDecoder.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamResponseDecoder.java
@@ -6,8 +6,8 @@
 import io.netty.util.AsciiString;
 
 /**
- * Reads servers' answers and takes none that could mean something else. Netty's decoder is kind to answers:
- * it takes a line without a colon for a header without a value, and a status with a sign for a number.
+ * Decodes responses of endpoints and rejects ambiguous ones. Netty's decoder is lenient: it accepts a line without a
+ * colon as a header without a value, and a status code with a sign.
  */
 final class UpstreamResponseDecoder extends HttpResponseDecoder {
 
@@ -15,7 +15,7 @@
     protected HttpMessage createMessage(String[] initialLine) {
         String status = initialLine[1];
         if (status.length() != 3 || !status.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new IllegalArgumentException("not a status: " + status);
+            throw new IllegalArgumentException("status code is not a number of three digits: " + status);
         }
         return super.createMessage(initialLine);
     }
@@ -23,14 +23,17 @@
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (length == 0 || line[start + length] != ':') {
-            throw new IllegalArgumentException("no colon behind a header's name");
+            throw new IllegalArgumentException("header line has no colon directly after the name");
         }
         return super.splitHeaderName(line, start, length);
     }
 
-    /** A node asks for no other protocol: what follows a 101 is read like what follows any interim answer. */
+    /**
+     * Returns false for every response. The proxy never requests a protocol upgrade, so a 101 is handled like any other
+     * informational response.
+     */
     @Override
-    protected boolean isSwitchingToNonHttp1Protocol(HttpResponse answer) {
+    protected boolean isSwitchingToNonHttp1Protocol(HttpResponse response) {
         return false;
     }
 }
--- a/src/test/java/loadbalancer/proxy/lifecycle/LeaseEnforcementTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/LeaseEnforcementTest.java
@@ -131,9 +131,9 @@
         }
 
         @Override
-        protected void writeOut(ChannelOutboundBuffer pending) throws Exception {
+        protected void writeToSocket(ChannelOutboundBuffer pending) throws Exception {
             if (resumed) {
-                super.writeOut(pending);
+                super.writeToSocket(pending);
             } else {
                 whenFull.countDown();
             }
--- a/src/test/java/loadbalancer/proxy/upstream/FailingSystemCallTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/FailingSystemCallTest.java
@@ -82,11 +82,11 @@
         }
 
         @Override
-        protected void writeOut(ChannelOutboundBuffer pending) throws Exception {
+        protected void writeToSocket(ChannelOutboundBuffer pending) throws Exception {
             if (call == SystemCall.WRITE) {
                 throw call.error;
             }
-            super.writeOut(pending);
+            super.writeToSocket(pending);
         }
 
         @Override
--- a/src/test/java/loadbalancer/proxy/upstream/StallingChannel.java
+++ b/src/test/java/loadbalancer/proxy/upstream/StallingChannel.java
@@ -29,7 +29,7 @@
     }
 
     @Override
-    protected void writeOut(ChannelOutboundBuffer pending) throws Exception {
+    protected void writeToSocket(ChannelOutboundBuffer pending) throws Exception {
         if (!stalled) {
             stalled = true;
             ByteBuffer part = pending.nioBuffers(1, BYTES_TAKEN)[0].duplicate();
@@ -37,7 +37,7 @@
             pending.removeBytes(javaChannel().write(part));
             whenStalled.countDown();
         } else if (resumed) {
-            super.writeOut(pending);
+            super.writeToSocket(pending);
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
@@ -165,17 +165,17 @@
                     .sync()
                     .channel();
             Socket server = far.accept();
-            assertTrue(channel.isQuiet());
+            assertTrue(channel.hasNoUnreadInput());
             server.getOutputStream().write('x');
-            while (channel.isQuiet()) {
+            while (channel.hasNoUnreadInput()) {
                 Thread.onSpinWait();
             }
-            assertTrue(channel.isQuiet(), "the byte is gone");
+            assertTrue(channel.hasNoUnreadInput(), "the byte is gone");
             server.close();
-            while (channel.isQuiet()) {
+            while (channel.hasNoUnreadInput()) {
                 Thread.onSpinWait();
             }
-            assertFalse(channel.isQuiet(), "the end stays");
+            assertFalse(channel.hasNoUnreadInput(), "the end stays");
         } finally {
             loop.parent().shutdownGracefully();
         }
