--- a/src/main/java/loadbalancer/Main.java
+++ b/src/main/java/loadbalancer/Main.java
@@ -3,11 +3,11 @@
 import loadbalancer.proxy.lifecycle.ProxyNode;
 import loadbalancer.simulator.SimulatorAdapter;
 
-/** One program in two modes: a real node, or the adapter that hosts instances for the bench. */
+/** Entry point of the program, which runs either as a proxy node or as the adapter for the simulator. */
 public final class Main {
     private Main() {}
 
-    /** Starts the mode that the one argument names. */
+    /** Starts the mode that the only argument names; exits with code 2 if it names none. */
     public static void main(String[] args) {
         switch (args.length == 1 ? args[0] : "") {
             case "simulator" -> SimulatorAdapter.run();
--- a/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorAdapter.java
@@ -4,13 +4,13 @@
 import java.io.FileOutputStream;
 import java.io.IOException;
 
-/** Hosts instances of the module for the bench: the wire on standard input and output. */
+/** Runs instances of the decision module for the simulator, over standard input and standard output. */
 public final class SimulatorAdapter {
     private SimulatorAdapter() {}
 
     /**
-     * Runs until the input ends; a malformed input ends it with one line on standard error and exit
-     * code 2.
+     * Handles events until the input ends. On malformed input or an I/O error, writes one line to standard error and
+     * exits with code 2.
      */
     public static void run() {
         try {
--- a/src/main/java/loadbalancer/simulator/SimulatorSession.java
+++ b/src/main/java/loadbalancer/simulator/SimulatorSession.java
@@ -20,238 +20,242 @@
 import loadbalancer.proxy.config.ConfigurationException;
 import loadbalancer.proxy.config.SettingsParser;
 
-/** Carries events from the wire to the instances and their actions back. It decides nothing. */
+/**
+ * Passes events from the simulator to the instances of the decision module, and their actions to the simulator. Makes
+ * no load-balancing decisions itself.
+ */
 final class SimulatorSession {
-    private static final int MOST_ROSTERS = 16;
+    private static final int MAX_ENDPOINT_LISTS = 16;
 
-    /** One node's module with what is needed to translate for it. */
+    /** The load balancer of a node, and the indexes of the names in its settings. */
     private record Instance(
-            LoadBalancer balancer,
-            Map<String, Integer> classes,
-            Map<String, Integer> tenants,
-            Map<String, Integer> zones) {}
+            LoadBalancer loadBalancer,
+            Map<String, Integer> classIndexes,
+            Map<String, Integer> tenantIndexes,
+            Map<String, Integer> zoneIndexes) {}
 
-    /** A roster's line; its zone is still a name, since instances number zones by their own settings. */
-    private record RosterLine(String id, String zone, int cell, EndpointState state, double weight, long startedAt) {}
+    /** An entry of an endpoint list. The zone is a name, since each instance numbers zones by its own settings. */
+    private record ListedEndpoint(
+            String id, String zone, int cell, EndpointState state, double weight, long startedAtUs) {}
 
-    private final WireLineParser line;
-    private final WireActionWriter reply;
+    private final WireLineParser parser;
+    private final WireActionWriter writer;
     private final Map<String, Instance> instances = new HashMap<>();
-    private final List<List<RosterLine>> rosters = new ArrayList<>();
-    private long now;
+    private final List<List<ListedEndpoint>> endpointLists = new ArrayList<>();
+    private long nowUs;
 
     SimulatorSession(InputStream in, OutputStream out) {
-        line = new WireLineParser(in);
-        reply = new WireActionWriter(out);
-        for (int i = 0; i < MOST_ROSTERS; i++) {
-            rosters.add(null);
+        parser = new WireLineParser(in);
+        writer = new WireActionWriter(out);
+        for (int i = 0; i < MAX_ENDPOINT_LISTS; i++) {
+            endpointLists.add(null);
         }
     }
 
-    /** Answers batch after batch until the input ends. */
+    /** Handles batches of events, and writes a reply to each, until the input ends. */
     void run() throws IOException, WireFormatException {
-        while (line.next()) {
-            if (line.name().isEmpty()) {
+        while (parser.readLine()) {
+            if (parser.name().isEmpty()) {
                 continue;
             }
-            if (!line.is("begin_batch")) {
-                throw line.bad("a batch must open with begin_batch, not " + line.name());
+            if (!parser.hasName("begin_batch")) {
+                throw parser.formatException("a batch must open with begin_batch, not " + parser.name());
             }
-            now = line.whole("timeUs");
-            nextLine();
-            while (!line.is("eob")) {
-                event();
-                nextLine();
+            nowUs = parser.wholeNumber("timeUs");
+            readLineOfBatch();
+            while (!parser.hasName("eob")) {
+                handleEvent();
+                readLineOfBatch();
             }
-            reply.flush();
+            writer.endReply();
         }
     }
 
-    private void nextLine() throws IOException, WireFormatException {
-        if (!line.next()) {
-            throw line.bad("the input ends inside a batch");
+    private void readLineOfBatch() throws IOException, WireFormatException {
+        if (!parser.readLine()) {
+            throw parser.formatException("the input ends inside a batch");
         }
     }
 
-    private void event() throws IOException, WireFormatException {
-        if (line.is("roster")) {
-            roster();
+    private void handleEvent() throws IOException, WireFormatException {
+        if (parser.hasName("roster")) {
+            readEndpointList();
             return;
         }
-        String node = line.text("node");
-        reply.actFor(node);
-        if (line.is("boot")) {
-            boot(node);
+        String node = parser.text("node");
+        writer.setNode(node);
+        if (parser.hasName("boot")) {
+            startInstance(node);
             return;
         }
         Instance instance = instances.get(node);
         if (instance == null) {
-            throw line.bad("node", "names an instance that was never started: " + node);
+            throw parser.formatException("node", "names an instance that was never started: " + node);
         }
-        if (line.is("shutdown")) {
+        if (parser.hasName("shutdown")) {
             instances.remove(node);
             return;
         }
-        Runnable call = translate(instance);
+        Runnable call = translateEvent(instance);
         try {
             call.run();
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
-            reply.fault(e + (trace.length > 0 ? " at " + trace[0] : ""));
+            writer.reportFault(e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
-    private Runnable translate(Instance to) throws WireFormatException {
-        LoadBalancer balancer = to.balancer;
-        long at = now;
-        if (line.is("resolved")) {
+    private Runnable translateEvent(Instance instance) throws WireFormatException {
+        LoadBalancer balancer = instance.loadBalancer;
+        long eventUs = nowUs;
+        if (parser.hasName("resolved")) {
             AttemptOutcome outcome = new AttemptOutcome(
-                    line.id("handle"),
-                    (int) line.whole("seqNo"),
-                    result(),
-                    line.whole("latencyUs", 0),
-                    line.flag("ended"),
-                    line.row("metrics"));
-            return () -> balancer.onAttemptOutcome(at, outcome);
+                    parser.requestId("handle"),
+                    (int) parser.wholeNumber("seqNo"),
+                    readAttemptResult(),
+                    parser.wholeNumber("latencyUs", 0),
+                    parser.flag("ended"),
+                    parser.numberList("metrics"));
+            return () -> balancer.onAttemptOutcome(eventUs, outcome);
         }
-        if (line.is("work_item")) {
-            String tenant = line.textOrNull("realm");
-            boolean anyTenant = tenant != null && !tenant.equals("0");
+        if (parser.hasName("work_item")) {
+            String tenant = parser.textOrNull("realm");
+            boolean hasTenant = tenant != null && !tenant.equals("0");
             Request request = new Request(
-                    line.id("handle"),
-                    index(to.classes, "lane", line.text("lane")),
-                    anyTenant ? index(to.tenants, "realm", tenant) : -1,
-                    line.whole("patienceLeftUs"),
-                    line.whole("workUs", 0),
-                    line.flag("resent"),
-                    line.textOrNull("routeKey"));
-            return () -> balancer.onRequest(at, request);
+                    parser.requestId("handle"),
+                    findIndex(instance.classIndexes, "lane", parser.text("lane")),
+                    hasTenant ? findIndex(instance.tenantIndexes, "realm", tenant) : -1,
+                    parser.wholeNumber("patienceLeftUs"),
+                    parser.wholeNumber("workUs", 0),
+                    parser.flag("resent"),
+                    parser.textOrNull("routeKey"));
+            return () -> balancer.onRequest(eventUs, request);
         }
-        if (line.is("bell")) {
-            return () -> balancer.onTimer(at);
+        if (parser.hasName("bell")) {
+            return () -> balancer.onTimer(eventUs);
         }
-        if (line.is("topology")) {
-            return topology(to);
+        if (parser.hasName("topology")) {
+            return translateEndpointList(instance);
         }
-        if (line.is("client_gone")) {
-            long id = line.id("handle");
-            return () -> balancer.onClientDisconnected(at, id);
+        if (parser.hasName("client_gone")) {
+            long requestId = parser.requestId("handle");
+            return () -> balancer.onClientDisconnected(eventUs, requestId);
         }
-        if (line.is("first_byte")) {
-            long id = line.id("handle");
-            int attempt = (int) line.whole("seqNo");
-            return () -> balancer.onFirstByte(at, id, attempt);
+        if (parser.hasName("first_byte")) {
+            long requestId = parser.requestId("handle");
+            int attemptNumber = (int) parser.wholeNumber("seqNo");
+            return () -> balancer.onFirstByte(eventUs, requestId, attemptNumber);
         }
-        // The module neither probes nor sends messages to peers.
-        if (line.is("echo") || line.is("memo")) {
+        // The decision module ignores these events: it neither probes endpoints nor sends messages to other instances.
+        if (parser.hasName("echo") || parser.hasName("memo")) {
             return () -> {};
         }
-        throw line.bad("unknown event " + line.name());
+        throw parser.formatException("unknown event " + parser.name());
     }
 
-    private void boot(String node) throws WireFormatException {
+    private void startInstance(String node) throws WireFormatException {
         LoadBalancerSettings settings = readSettings();
-        long seed = line.whole("initSeed");
-        Map<String, Integer> classes = new HashMap<>();
-        settings.classes.forEach(c -> classes.put(c.name(), classes.size()));
-        Map<String, Integer> tenants = new HashMap<>();
-        settings.tenants.forEach(t -> tenants.put(t.name(), tenants.size()));
-        Map<String, Integer> zones = new HashMap<>();
-        settings.zones.forEach(z -> zones.put(z, zones.size()));
+        long seed = parser.wholeNumber("initSeed");
+        Map<String, Integer> classIndexes = new HashMap<>();
+        settings.classes.forEach(requestClass -> classIndexes.put(requestClass.name(), classIndexes.size()));
+        Map<String, Integer> tenantIndexes = new HashMap<>();
+        settings.tenants.forEach(tenant -> tenantIndexes.put(tenant.name(), tenantIndexes.size()));
+        Map<String, Integer> zoneIndexes = new HashMap<>();
+        settings.zones.forEach(zone -> zoneIndexes.put(zone, zoneIndexes.size()));
         try {
-            LoadBalancer balancer = new ServiceQLoadBalancer(settings, seed, reply);
-            instances.put(node, new Instance(balancer, classes, tenants, zones));
+            LoadBalancer balancer = new ServiceQLoadBalancer(settings, seed, writer);
+            instances.put(node, new Instance(balancer, classIndexes, tenantIndexes, zoneIndexes));
         } catch (IllegalArgumentException e) {
-            throw line.bad("boot: " + e.getMessage());
+            throw parser.formatException("boot: " + e.getMessage());
         }
     }
 
     private LoadBalancerSettings readSettings() throws WireFormatException {
         Map<String, String> values = new HashMap<>();
-        for (int i = 0; i < line.fieldCount(); i++) {
-            values.put(line.key(i), line.value(i));
+        for (int i = 0; i < parser.fieldCount(); i++) {
+            values.put(parser.key(i), parser.value(i));
         }
         try {
             return SettingsParser.parse(values);
         } catch (ConfigurationException e) {
-            throw line.bad(e.field(), e.description());
+            throw parser.formatException(e.field(), e.description());
         }
     }
 
-    private void roster() throws IOException, WireFormatException {
-        int number = rosterNumber();
-        long count = line.whole("nodesList", 0);
-        List<RosterLine> entries = new ArrayList<>();
+    private void readEndpointList() throws IOException, WireFormatException {
+        int listNumber = readEndpointListNumber();
+        long count = parser.wholeNumber("nodesList", 0);
+        List<ListedEndpoint> entries = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            nextLine();
-            if (!line.is("server")) {
-                throw line.bad("a roster's line must be server, not " + line.name());
+            readLineOfBatch();
+            if (!parser.hasName("server")) {
+                throw parser.formatException("a roster's line must be server, not " + parser.name());
             }
-            String state = line.text("lifecycle");
-            entries.add(new RosterLine(
-                    line.text("server"),
-                    line.textOrNull("site"),
-                    (int) line.whole("block", 0),
+            String state = parser.text("lifecycle");
+            entries.add(new ListedEndpoint(
+                    parser.text("server"),
+                    parser.textOrNull("site"),
+                    (int) parser.wholeNumber("block", 0),
                     switch (state) {
                         case "Running" -> EndpointState.READY;
                         case "Stopping" -> EndpointState.DRAINING;
                         case "Deleted" -> EndpointState.REMOVED;
-                        default -> throw line.bad("lifecycle", "is unknown: " + state);
+                        default -> throw parser.formatException("lifecycle", "is unknown: " + state);
                     },
-                    line.decimal("scale", 1),
-                    line.whole("sinceUs", 0)));
+                    parser.decimal("scale", 1),
+                    parser.wholeNumber("sinceUs", 0)));
         }
-        rosters.set(number, entries);
+        endpointLists.set(listNumber, entries);
     }
 
-    private int rosterNumber() throws WireFormatException {
-        long number = line.whole("setId");
-        if (number < 0 || number >= MOST_ROSTERS) {
-            throw line.bad("setId", "is not from 0 to " + (MOST_ROSTERS - 1));
+    private int readEndpointListNumber() throws WireFormatException {
+        long number = parser.wholeNumber("setId");
+        if (number < 0 || number >= MAX_ENDPOINT_LISTS) {
+            throw parser.formatException("setId", "is not from 0 to " + (MAX_ENDPOINT_LISTS - 1));
         }
         return (int) number;
     }
 
-    private Runnable topology(Instance to) throws WireFormatException {
-        long at = now;
-        String kind = line.text("kind");
+    private Runnable translateEndpointList(Instance instance) throws WireFormatException {
+        long eventUs = nowUs;
+        String kind = parser.text("kind");
         if (kind.equals("broken")) {
-            return () -> to.balancer.onEndpointListFailed(at);
+            return () -> instance.loadBalancer.onEndpointListFailed(eventUs);
         }
         EndpointListKind listKind =
                 switch (kind) {
                     case "patch" -> EndpointListKind.CHANGES;
                     case "whole" -> EndpointListKind.COMPLETE;
                     case "stale_copy" -> EndpointListKind.CACHED;
-                    default -> throw line.bad("kind", "is unknown: " + kind);
+                    default -> throw parser.formatException("kind", "is unknown: " + kind);
                 };
-        List<RosterLine> roster = rosters.get(rosterNumber());
-        if (roster == null) {
-            throw line.bad("setId", "names a roster that was never given");
+        List<ListedEndpoint> listed = endpointLists.get(readEndpointListNumber());
+        if (listed == null) {
+            throw parser.formatException("setId", "names a roster that was never given");
         }
-        List<EndpointListEntry> entries = new ArrayList<>(roster.size());
-        for (RosterLine entry : roster) {
+        List<EndpointListEntry> entries = new ArrayList<>(listed.size());
+        for (ListedEndpoint entry : listed) {
             entries.add(new EndpointListEntry(
                     entry.id,
-                    to.zones.getOrDefault(entry.zone, -1),
+                    instance.zoneIndexes.getOrDefault(entry.zone, -1),
                     entry.cell,
                     entry.state,
                     entry.weight,
-                    entry.startedAt));
+                    entry.startedAtUs));
         }
-        return () -> to.balancer.onEndpointList(at, listKind, entries);
+        return () -> instance.loadBalancer.onEndpointList(eventUs, listKind, entries);
     }
 
-    private int index(Map<String, Integer> names, String field, String name) throws WireFormatException {
+    private int findIndex(Map<String, Integer> names, String field, String name) throws WireFormatException {
         Integer index = names.get(name);
         if (index == null) {
-            throw line.bad(field, "is not in the settings: " + name);
+            throw parser.formatException(field, "is not in the settings: " + name);
         }
         return index;
     }
 
-    private AttemptResult result() throws WireFormatException {
-        long code = line.whole("rc");
+    private AttemptResult readAttemptResult() throws WireFormatException {
+        long code = parser.wholeNumber("rc");
         return switch ((int) code) {
             case 10 -> AttemptResult.OK;
             case 20 -> AttemptResult.ERROR;
@@ -261,7 +265,7 @@
             case 60 -> AttemptResult.RESET;
             case 70 -> AttemptResult.CANCELLED;
             case 80 -> AttemptResult.NOT_SENT;
-            default -> throw line.bad("rc", "is unknown: " + code);
+            default -> throw parser.formatException("rc", "is unknown: " + code);
         };
     }
 }
--- a/src/main/java/loadbalancer/simulator/WireActionWriter.java
+++ b/src/main/java/loadbalancer/simulator/WireActionWriter.java
@@ -8,166 +8,173 @@
 import loadbalancer.policy.LoadBalancerActions;
 import loadbalancer.policy.log.PolicyEvent;
 
-/** Writes the actions of the instance whose event is being handled; a reply goes out whole or not at all. */
+/**
+ * Writes the actions that instances request, one per line. The actions of a batch are buffered until {@link #endReply}
+ * writes them, so that no part of a reply is written if the batch is malformed.
+ */
 final class WireActionWriter implements LoadBalancerActions {
-    private static final byte[] HEX = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] HEX_DIGITS = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
     private final OutputStream out;
     private byte[] buffer = new byte[1 << 16];
-    private int filled;
+    private int bufferedBytes;
     private String node = "";
 
     WireActionWriter(OutputStream out) {
         this.out = out;
     }
 
-    void actFor(String instance) {
-        node = instance;
+    /** Sets the node that is named in the actions that follow. */
+    void setNode(String node) {
+        this.node = node;
     }
 
-    void flush() throws IOException {
-        text("next\n");
-        out.write(buffer, 0, filled);
+    /** Ends the reply to a batch and writes it to the output. */
+    void endReply() throws IOException {
+        appendText("next\n");
+        out.write(buffer, 0, bufferedBytes);
         out.flush();
-        filled = 0;
+        bufferedBytes = 0;
     }
 
     @Override
-    public void startAttempt(long requestId, String serverId, long untilUs) {
-        open("route");
-        handle(requestId);
-        text(" server=");
-        text(serverId);
-        text(" untilUs=");
-        number(untilUs);
-        close();
+    public void startAttempt(long requestId, String endpointId, long deadlineUs) {
+        beginAction("route");
+        appendRequestId(requestId);
+        appendText(" server=");
+        appendText(endpointId);
+        appendText(" untilUs=");
+        appendNumber(deadlineUs);
+        endAction();
     }
 
     @Override
-    public void cancelAttempt(long requestId, int attempt) {
-        open("abort_attempt");
-        handle(requestId);
-        text(" seqNo=");
-        number(attempt);
-        close();
+    public void cancelAttempt(long requestId, int attemptNumber) {
+        beginAction("abort_attempt");
+        appendRequestId(requestId);
+        appendText(" seqNo=");
+        appendNumber(attemptNumber);
+        endAction();
     }
 
     @Override
     public void reject(long requestId, long retryAfterUs) {
-        open("decline");
-        handle(requestId);
+        beginAction("decline");
+        appendRequestId(requestId);
         if (retryAfterUs > 0) {
-            text(" retryInUs=");
-            number(retryAfterUs);
+            appendText(" retryInUs=");
+            appendNumber(retryAfterUs);
         }
-        close();
+        endAction();
     }
 
     @Override
     public void fail(long requestId) {
-        open("lose");
-        handle(requestId);
-        close();
+        beginAction("lose");
+        appendRequestId(requestId);
+        endAction();
     }
 
     @Override
     public void setTimer(long atUs) {
-        open("remind");
-        text(" dueAtUs=");
-        number(atUs);
-        text(" label=w");
-        close();
+        beginAction("remind");
+        appendText(" dueAtUs=");
+        appendNumber(atUs);
+        appendText(" label=w");
+        endAction();
     }
 
     @Override
-    public void closeIdleConnections(String serverId) {
-        open("drop_conns");
-        text(" server=");
-        text(serverId);
-        close();
+    public void closeIdleConnections(String endpointId) {
+        beginAction("drop_conns");
+        appendText(" server=");
+        appendText(endpointId);
+        endAction();
     }
 
     @Override
     public void watchEndpointList() {
-        open("track");
-        text(" want=1");
-        close();
+        beginAction("track");
+        appendText(" want=1");
+        endAction();
     }
 
     @Override
     public void record(PolicyEvent event) {
-        open("record");
-        note(event.describe());
+        beginAction("record");
+        appendNoteAndEndAction(event.describe());
     }
 
-    /** The module has thrown: the day ends with this text. */
-    void fault(String line) {
-        open("fault");
-        note(line);
+    /** Reports an exception of the decision module to the simulator, which ends the simulation with this text. */
+    void reportFault(String description) {
+        beginAction("fault");
+        appendNoteAndEndAction(description);
     }
 
-    private void note(String line) {
-        text(" noteText=");
-        text(line.replace('\n', ' ').replace('\r', ' '));
-        close();
+    private void appendNoteAndEndAction(String note) {
+        appendText(" noteText=");
+        appendText(note.replace('\n', ' ').replace('\r', ' '));
+        endAction();
     }
 
-    private void open(String action) {
-        text(action);
-        text(" node=");
-        text(node);
+    private void beginAction(String action) {
+        appendText(action);
+        appendText(" node=");
+        appendText(node);
     }
 
-    private void close() {
-        room(1);
-        buffer[filled++] = '\n';
+    private void endAction() {
+        ensureCapacity(1);
+        buffer[bufferedBytes++] = '\n';
     }
 
-    private void handle(long id) {
-        text(" handle=");
-        room(16);
+    private void appendRequestId(long requestId) {
+        appendText(" handle=");
+        ensureCapacity(16);
         for (int shift = 60; shift >= 0; shift -= 4) {
-            buffer[filled++] = HEX[(int) (id >>> shift) & 15];
+            buffer[bufferedBytes++] = HEX_DIGITS[(int) (requestId >>> shift) & 15];
         }
     }
 
-    private void text(String text) {
+    private void appendText(String text) {
         int length = text.length();
-        room(3 * length);
+        // A char takes at most three bytes in UTF-8.
+        ensureCapacity(3 * length);
         for (int i = 0; i < length; i++) {
             char c = text.charAt(i);
             if (c >= 128) {
-                byte[] rest = text.substring(i).getBytes(StandardCharsets.UTF_8);
-                System.arraycopy(rest, 0, buffer, filled, rest.length);
-                filled += rest.length;
+                byte[] remainder = text.substring(i).getBytes(StandardCharsets.UTF_8);
+                System.arraycopy(remainder, 0, buffer, bufferedBytes, remainder.length);
+                bufferedBytes += remainder.length;
                 return;
             }
-            buffer[filled++] = (byte) c;
+            buffer[bufferedBytes++] = (byte) c;
         }
     }
 
-    private void number(long value) {
+    private void appendNumber(long value) {
         if (value < 0) {
-            text(Long.toString(value));
+            appendText(Long.toString(value));
             return;
         }
-        room(20);
+        // A non-negative long has at most 19 digits.
+        ensureCapacity(20);
         int digits = 1;
-        for (long v = value; v >= 10; v /= 10) {
+        for (long rest = value; rest >= 10; rest /= 10) {
             digits++;
         }
-        int at = filled + digits;
-        filled = at;
-        long v = value;
+        int position = bufferedBytes + digits;
+        bufferedBytes = position;
+        long rest = value;
         do {
-            buffer[--at] = (byte) ('0' + v % 10);
-            v /= 10;
-        } while (v > 0);
+            buffer[--position] = (byte) ('0' + rest % 10);
+            rest /= 10;
+        } while (rest > 0);
     }
 
-    private void room(int bytes) {
-        if (filled + bytes > buffer.length) {
-            buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, filled + bytes));
+    private void ensureCapacity(int additionalBytes) {
+        if (bufferedBytes + additionalBytes > buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, bufferedBytes + additionalBytes));
         }
     }
 }
--- a/src/main/java/loadbalancer/simulator/WireFormatException.java
+++ b/src/main/java/loadbalancer/simulator/WireFormatException.java
@@ -1,6 +1,6 @@
 package loadbalancer.simulator;
 
-/** The input is not what the wire allows; the message is one plain line for the operator. */
+/** Thrown if the input violates the format of the wire. The message is one line for the operator. */
 public final class WireFormatException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/loadbalancer/simulator/WireLineParser.java
+++ b/src/main/java/loadbalancer/simulator/WireLineParser.java
@@ -5,19 +5,22 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Reads the wire line by line: a name, then name=value pairs, parted by single spaces. Keeps no garbage. */
+/**
+ * Reads and parses the input line by line. A line is a name followed by fields of the form {@code key=value}, separated
+ * by single spaces. Integers, flags and request ids are parsed in the buffer, without creating objects.
+ */
 public final class WireLineParser {
-    private static final int FIRST_BUFFER = 1 << 16;
+    private static final int INITIAL_BUFFER_BYTES = 1 << 16;
 
     private final InputStream in;
-    private byte[] buffer = new byte[FIRST_BUFFER];
-    private int filled;
-    private int start;
-    private int end;
-    private long number;
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+    private int bufferedBytes;
+    private int lineStart;
+    private int lineEnd;
+    private long lineNumber;
 
     private int nameEnd;
-    private int fields;
+    private int fieldCount;
     private int[] keyStart = new int[16];
     private int[] valueStart = new int[16];
     private int[] valueEnd = new int[16];
@@ -26,84 +29,84 @@
         this.in = in;
     }
 
-    /** Moves to the next line; false at the end of input. */
-    boolean next() throws IOException {
-        start = number == 0 ? 0 : end + 1;
-        number++;
-        int scan = start;
+    /** Reads the next line. Returns false at the end of the input. */
+    boolean readLine() throws IOException {
+        lineStart = lineNumber == 0 ? 0 : lineEnd + 1;
+        lineNumber++;
+        int position = lineStart;
         while (true) {
-            while (scan < filled && buffer[scan] != '\n') {
-                scan++;
+            while (position < bufferedBytes && buffer[position] != '\n') {
+                position++;
             }
-            if (scan < filled) {
-                end = scan;
-                split();
+            if (position < bufferedBytes) {
+                lineEnd = position;
+                splitLine();
                 return true;
             }
-            if (start > 0) {
-                System.arraycopy(buffer, start, buffer, 0, filled - start);
-                filled -= start;
-                scan -= start;
-                start = 0;
+            if (lineStart > 0) {
+                System.arraycopy(buffer, lineStart, buffer, 0, bufferedBytes - lineStart);
+                bufferedBytes -= lineStart;
+                position -= lineStart;
+                lineStart = 0;
             }
-            if (filled == buffer.length) {
+            if (bufferedBytes == buffer.length) {
                 buffer = Arrays.copyOf(buffer, 2 * buffer.length);
             }
-            int read = in.read(buffer, filled, buffer.length - filled);
-            if (read < 0) {
-                end = filled;
-                if (filled == start) {
+            int readBytes = in.read(buffer, bufferedBytes, buffer.length - bufferedBytes);
+            if (readBytes < 0) {
+                lineEnd = bufferedBytes;
+                if (bufferedBytes == lineStart) {
                     return false;
                 }
-                split();
-                // The next call must find nothing more.
-                buffer[end < buffer.length ? end : end - 1] = '\n';
-                filled = Math.min(end + 1, buffer.length);
+                splitLine();
+                // The last line has no line feed: adds one, so that the next call reports the end of the input.
+                buffer[lineEnd < buffer.length ? lineEnd : lineEnd - 1] = '\n';
+                bufferedBytes = Math.min(lineEnd + 1, buffer.length);
                 return true;
             }
-            filled += read;
+            bufferedBytes += readBytes;
         }
     }
 
-    private void split() {
-        int at = start;
-        while (at < end && buffer[at] != ' ') {
-            at++;
+    private void splitLine() {
+        int position = lineStart;
+        while (position < lineEnd && buffer[position] != ' ') {
+            position++;
         }
-        nameEnd = at;
-        fields = 0;
-        while (at < end) {
-            int key = at + 1;
+        nameEnd = position;
+        fieldCount = 0;
+        while (position < lineEnd) {
+            int key = position + 1;
             int equals = key;
-            while (equals < end && buffer[equals] != '=' && buffer[equals] != ' ') {
+            while (equals < lineEnd && buffer[equals] != '=' && buffer[equals] != ' ') {
                 equals++;
             }
-            at = equals;
-            while (at < end && buffer[at] != ' ') {
-                at++;
+            position = equals;
+            while (position < lineEnd && buffer[position] != ' ') {
+                position++;
             }
-            if (fields == keyStart.length) {
-                keyStart = Arrays.copyOf(keyStart, 2 * fields);
-                valueStart = Arrays.copyOf(valueStart, 2 * fields);
-                valueEnd = Arrays.copyOf(valueEnd, 2 * fields);
+            if (fieldCount == keyStart.length) {
+                keyStart = Arrays.copyOf(keyStart, 2 * fieldCount);
+                valueStart = Arrays.copyOf(valueStart, 2 * fieldCount);
+                valueEnd = Arrays.copyOf(valueEnd, 2 * fieldCount);
             }
-            keyStart[fields] = key;
-            valueStart[fields] = Math.min(equals + 1, at);
-            valueEnd[fields] = at;
-            fields++;
+            keyStart[fieldCount] = key;
+            valueStart[fieldCount] = Math.min(equals + 1, position);
+            valueEnd[fieldCount] = position;
+            fieldCount++;
         }
     }
 
     String name() {
-        return new String(buffer, start, nameEnd - start, StandardCharsets.UTF_8);
+        return new String(buffer, lineStart, nameEnd - lineStart, StandardCharsets.UTF_8);
     }
 
-    boolean is(String name) {
-        return matches(start, nameEnd, name);
+    boolean hasName(String name) {
+        return matches(lineStart, nameEnd, name);
     }
 
     public int fieldCount() {
-        return fields;
+        return fieldCount;
     }
 
     public String key(int field) {
@@ -128,8 +131,8 @@
         return true;
     }
 
-    private int find(String key) {
-        for (int i = 0; i < fields; i++) {
+    private int findField(String key) {
+        for (int i = 0; i < fieldCount; i++) {
             if (valueStart[i] > keyStart[i] && matches(keyStart[i], valueStart[i] - 1, key)) {
                 return i;
             }
@@ -137,54 +140,55 @@
         return -1;
     }
 
-    private int need(String key) throws WireFormatException {
-        int field = find(key);
+    private int requireField(String key) throws WireFormatException {
+        int field = findField(key);
         if (field < 0) {
-            throw bad(key, "is missing");
+            throw formatException(key, "is missing");
         }
         return field;
     }
 
-    /** A field's text, or null if it is left out. */
+    /** Returns the text of a field, or null if the line lacks the field. */
     String textOrNull(String key) {
-        int field = find(key);
+        int field = findField(key);
         return field < 0 ? null : value(field);
     }
 
     String text(String key) throws WireFormatException {
-        return value(need(key));
+        return value(requireField(key));
     }
 
-    long whole(String key) throws WireFormatException {
-        return whole(key, need(key));
+    long wholeNumber(String key) throws WireFormatException {
+        return wholeNumber(key, requireField(key));
     }
 
-    long whole(String key, long otherwise) throws WireFormatException {
-        int field = find(key);
-        return field < 0 ? otherwise : whole(key, field);
+    long wholeNumber(String key, long defaultValue) throws WireFormatException {
+        int field = findField(key);
+        return field < 0 ? defaultValue : wholeNumber(key, field);
     }
 
-    private long whole(String key, int field) throws WireFormatException {
-        int at = valueStart[field];
-        int to = valueEnd[field];
-        boolean minus = at < to && buffer[at] == '-';
-        at += minus ? 1 : 0;
-        if (at == to || to - at > 18) {
-            throw bad(key, "is not a whole number");
+    private long wholeNumber(String key, int field) throws WireFormatException {
+        int position = valueStart[field];
+        int end = valueEnd[field];
+        boolean isNegative = position < end && buffer[position] == '-';
+        position += isNegative ? 1 : 0;
+        if (position == end || end - position > 18) {
+            throw formatException(key, "is not a whole number");
         }
         long value = 0;
-        for (; at < to; at++) {
-            int digit = buffer[at] - '0';
+        for (; position < end; position++) {
+            int digit = buffer[position] - '0';
             if (digit < 0 || digit > 9) {
-                throw bad(key, "is not a whole number");
+                throw formatException(key, "is not a whole number");
             }
             value = 10 * value + digit;
         }
-        return minus ? -value : value;
+        return isNegative ? -value : value;
     }
 
+    /** Returns the value of a field that is 1, 0, true or false, or false if the line lacks the field. */
     boolean flag(String key) throws WireFormatException {
-        int field = find(key);
+        int field = findField(key);
         if (field < 0
                 || matches(valueStart[field], valueEnd[field], "0")
                 || matches(valueStart[field], valueEnd[field], "false")) {
@@ -193,59 +197,61 @@
         if (matches(valueStart[field], valueEnd[field], "1") || matches(valueStart[field], valueEnd[field], "true")) {
             return true;
         }
-        throw bad(key, "is neither 1 nor 0: " + value(field));
+        throw formatException(key, "is neither 1 nor 0: " + value(field));
     }
 
-    double decimal(String key, double otherwise) throws WireFormatException {
-        int field = find(key);
-        return field < 0 ? otherwise : decimal(key, value(field));
+    double decimal(String key, double defaultValue) throws WireFormatException {
+        int field = findField(key);
+        return field < 0 ? defaultValue : decimal(key, value(field));
     }
 
     private double decimal(String key, String text) throws WireFormatException {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            throw bad(key, "is not a number");
+            throw formatException(key, "is not a number");
         }
     }
 
-    /** Numbers parted by commas, or null if the field is left out. */
-    double[] row(String key) throws WireFormatException {
-        int field = find(key);
+    /** Returns the comma-separated numbers of a field, or null if the line lacks the field or its value is empty. */
+    double[] numberList(String key) throws WireFormatException {
+        int field = findField(key);
         if (field < 0 || valueStart[field] == valueEnd[field]) {
             return null;
         }
         String[] parts = value(field).split(",", -1);
-        double[] row = new double[parts.length];
+        double[] numbers = new double[parts.length];
         for (int i = 0; i < parts.length; i++) {
-            row[i] = decimal(key, parts[i]);
+            numbers[i] = decimal(key, parts[i]);
         }
-        return row;
+        return numbers;
     }
 
-    /** A request id: 16 hex digits. */
-    long id(String key) throws WireFormatException {
-        int field = need(key);
+    /** Returns a request id, which is written as 16 lower-case hexadecimal digits. */
+    long requestId(String key) throws WireFormatException {
+        int field = requireField(key);
         if (valueEnd[field] - valueStart[field] != 16) {
-            throw bad(key, "is not 16 hex digits");
+            throw formatException(key, "is not 16 hex digits");
         }
         long id = 0;
-        for (int at = valueStart[field]; at < valueEnd[field]; at++) {
-            int b = buffer[at];
+        for (int position = valueStart[field]; position < valueEnd[field]; position++) {
+            int b = buffer[position];
             int digit = b >= '0' && b <= '9' ? b - '0' : b >= 'a' && b <= 'f' ? b - 'a' + 10 : -1;
             if (digit < 0) {
-                throw bad(key, "is not 16 hex digits");
+                throw formatException(key, "is not 16 hex digits");
             }
             id = id << 4 | digit;
         }
         return id;
     }
 
-    WireFormatException bad(String field, String reason) {
-        return new WireFormatException("line " + number + ": " + name() + ": field " + field + " " + reason);
+    /** Creates an exception whose message names the current line and one of its fields. */
+    WireFormatException formatException(String field, String reason) {
+        return new WireFormatException("line " + lineNumber + ": " + name() + ": field " + field + " " + reason);
     }
 
-    WireFormatException bad(String reason) {
-        return new WireFormatException("line " + number + ": " + reason);
+    /** Creates an exception whose message names the current line. */
+    WireFormatException formatException(String reason) {
+        return new WireFormatException("line " + lineNumber + ": " + reason);
     }
 }
