--- a/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
@@ -9,23 +9,24 @@
 import loadbalancer.proxy.logging.LogEvent;
 
 /**
- * SIGHUP: the configuration file is read again and the node is told. A JVM left alone would end on it.
+ * Reloads the configuration file on SIGHUP and applies it to the node. By default, SIGHUP terminates the JVM.
  *
- * <p>A file that cannot be read may be half written: it is read again for some time, as no second signal need come.
+ * <p>An invalid file may be only partly written. Because no second signal may follow, the file is read again for some
+ * time.
  */
 final class ConfigurationReloader {
-    /** Between two attempts to read a file that cannot be used. */
+    /** The time between two attempts to read an invalid file. */
     private static final long RETRY_MS = 100;
-    /** Attempts after a signal: for five seconds. */
+    /** The maximum number of attempts after a signal, which last five seconds. */
     private static final int MAX_ATTEMPTS = 50;
 
     private static final long NO_PENDING_SIGNAL = Long.MAX_VALUE;
 
     private final Map<String, String> env;
     private final ProxyNode node;
-    /** How many signals have come: a later one ends the attempts of those before it. */
+    /** The number of received signals. A later signal ends the attempts that an earlier one started. */
     private long signalCount;
-    /** When the first signal came behind which the file has not been read yet. */
+    /** When the earliest signal arrived after which the file has not been read successfully. */
     private long pendingSignalAtUs = NO_PENDING_SIGNAL;
 
     private ConfigurationReloader(Map<String, String> env, ProxyNode node) {
@@ -34,33 +35,34 @@
     }
 
     /**
-     * Takes over the signal. By name, as the compiler's warning about sun.misc.Signal, which is the only way
-     * to have signals, cannot be turned off for one class.
+     * Installs the SIGHUP handler. Uses reflection, because sun.misc.Signal is the only API for signals and the
+     * compiler's warning about it cannot be suppressed for a single class.
      */
     static void installSignalHandler(Map<String, String> env, ProxyNode node) {
-        ConfigurationReloader reload = new ConfigurationReloader(env, node);
+        ConfigurationReloader reloader = new ConfigurationReloader(env, node);
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object read = Proxy.newProxyInstance(
+            Object signalHandler = Proxy.newProxyInstance(
                     ConfigurationReloader.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
-                        reload.reload(node.nowUs());
+                        reloader.reload(node.nowUs());
                         return null;
                     });
             signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), read);
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), signalHandler);
         } catch (ReflectiveOperationException e) {
             EventLog.error("SIGHUP cannot be handled", e);
         }
     }
 
     /**
-     * Each signal has a thread of its own, on which files are read and waits pass, never on the event loop. One at a
-     * time, so that the file as read last is what holds; a wait lets a later signal in.
+     * Reloads the configuration, with retries. The JVM calls this method on a separate thread for each signal, so that
+     * reading and waiting never block the event loop. The method is synchronized so that the file that was read last
+     * takes effect; waiting releases the lock for a later signal.
      */
-    private synchronized void reload(long cameAtUs) throws InterruptedException {
+    private synchronized void reload(long receivedAtUs) throws InterruptedException {
         long signal = ++signalCount;
-        pendingSignalAtUs = Math.min(pendingSignalAtUs, cameAtUs);
+        pendingSignalAtUs = Math.min(pendingSignalAtUs, receivedAtUs);
         for (int attempt = 1; attempt <= MAX_ATTEMPTS && !tryReload(attempt); attempt++) {
             wait(RETRY_MS);
             if (signal != signalCount) {
@@ -71,15 +73,15 @@
 
     private boolean tryReload(int attempt) {
         try {
-            ProxyConfiguration changed = ProxyConfiguration.reload(env);
-            EventLog.event(LogEvent.named("reload").with("attempt", attempt).with("discovery", changed.discovery()));
-            node.reload(changed, pendingSignalAtUs);
+            ProxyConfiguration newConfig = ProxyConfiguration.reload(env);
+            EventLog.event(LogEvent.named("reload").with("attempt", attempt).with("discovery", newConfig.discovery()));
+            node.reload(newConfig, pendingSignalAtUs);
             pendingSignalAtUs = NO_PENDING_SIGNAL;
             return true;
         } catch (ConfigurationException e) {
             if (attempt == 1 || attempt == MAX_ATTEMPTS) {
-                EventLog.message("reload: " + e.getMessage() + "; the configuration stays as it was"
-                        + (attempt == 1 ? ", the file is read again" : ""));
+                EventLog.message("reload: " + e.getMessage() + "; the previous configuration remains in effect"
+                        + (attempt == 1 ? ", and the file will be read again" : ""));
             }
             return false;
         }
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
@@ -47,18 +47,19 @@
 import loadbalancer.proxy.upstream.UpstreamConnectionPool;
 
 /**
- * A real node: it carries what happens on the sockets to the decision module and what the module asks for
- * to the sockets. It decides nothing. All of it runs on one event loop.
+ * A proxy node that serves clients over sockets. It notifies the decision module of requests, attempt outcomes and
+ * endpoint lists, and executes the actions that the module requests. It makes no decisions itself, and runs on one
+ * event loop.
  */
 public final class ProxyNode implements LoadBalancerActions {
     private static final byte[] NO_BODY = {};
-    /** Attempts to open the listener, for two seconds in all, and the time between two of them. */
+    /** The maximum number of attempts to open the listener. With the interval below, they last two seconds. */
     private static final int MAX_LISTEN_ATTEMPTS = 40;
 
     private static final long LISTEN_RETRY_MS = 50;
     /**
-     * A node without a lease is not ready for clients, but for so long only: where discovery answers nobody, a refusal
-     * from each node is better than no node at all.
+     * The time after the start at which a node reports readiness even without a lease. If discovery responds to no
+     * node, a front with nodes that reject requests is better than a front without nodes.
      */
     private static final long MAX_UNREADY_MS = 4_500;
 
@@ -71,12 +72,18 @@
     private final LoadBalancer loadBalancer;
 
     private final Map<Long, InFlightRequest> inFlight = new HashMap<>();
-    /** The ids of those that are owed an answer. A second one of the same id could have its effect twice. */
+    /**
+     * The requests without a final response, by transaction id. A second request with the id of an open one is refused,
+     * because its effect could occur twice.
+     */
     private final Map<String, InFlightRequest> openRequests = new HashMap<>();
 
     private long lastRequestId;
     private final PolicyEventQueue events;
-    /** What is still in flight then would be lost with the process. */
+    /**
+     * The time by which every request must have its response in a graceful shutdown, after which the process is
+     * killed; unlimited before the shutdown.
+     */
     private long shutdownResponseDeadlineUs = Long.MAX_VALUE;
 
     private boolean isReady;
@@ -94,10 +101,10 @@
         this.loop = loop;
         clock = dependencies.clock();
         events = new PolicyEventQueue(loop, request -> abandon(request, HttpResponseStatus.INTERNAL_SERVER_ERROR));
-        DescriptorBudget sockets = new DescriptorBudget(config.maxDescriptors());
+        DescriptorBudget descriptors = new DescriptorBudget(config.maxDescriptors());
         pool = new UpstreamConnectionPool(
                 loop,
-                sockets,
+                descriptors,
                 clock,
                 config.settings().connectTimeoutUs,
                 config.upstreamIdleTimeoutUs(),
@@ -107,7 +114,7 @@
                 loop,
                 clock,
                 new ClientRequestParser(config.settings()),
-                sockets,
+                descriptors,
                 dependencies.listeners(),
                 new ClientRequestHandler() {
                     @Override
@@ -123,11 +130,11 @@
 
                     @Override
                     public void onClientDisconnected(ClientRequest request) {
-                        InFlightRequest gone = openRequests.get(request.transactionId());
-                        endRequest(gone);
-                        events.add(gone, () -> {
-                            loadBalancer.onClientDisconnected(clock.nowUs(), gone.id);
-                            removeIfCompleted(gone);
+                        InFlightRequest disconnected = openRequests.get(request.transactionId());
+                        endRequest(disconnected);
+                        events.add(disconnected, () -> {
+                            loadBalancer.onClientDisconnected(clock.nowUs(), disconnected.id);
+                            removeIfCompleted(disconnected);
                         });
                     }
                 });
@@ -153,9 +160,14 @@
         loadBalancer = dependencies.loadBalancers().apply(this);
     }
 
-    // ---------------------------------------------------------------- start and end
+    // ---------------------------------------------------------------- start and shutdown
 
-    /** Runs a node until SIGTERM; a bad configuration ends it with one line and exit code 2. */
+    /**
+     * Starts a node that runs until SIGTERM. Exits with code 2 and a message on standard error if the configuration is
+     * invalid or the listener cannot be opened.
+     *
+     * @param env the environment variables of the process
+     */
     public static void run(Map<String, String> env) {
         ProxyConfiguration config;
         try {
@@ -170,20 +182,21 @@
         EventLoop loop = newLoop();
         ProxyNode node = new ProxyNode(config, loop);
         ConfigurationReloader.installSignalHandler(env, node);
-        // Before it listens: a node that was told to end just then would end with what it has taken.
+        // Registered before the listener opens, because a SIGTERM right after that would otherwise end the process
+        // with the requests that it has accepted.
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
-                            CountDownLatch empty = new CountDownLatch(1);
-                            node.beginGracefulShutdown(ShutdownSchedule.of(config.settings()), empty::countDown);
+                            CountDownLatch drained = new CountDownLatch(1);
+                            node.beginGracefulShutdown(ShutdownSchedule.of(config.settings()), drained::countDown);
                             try {
-                                empty.await();
+                                drained.await();
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
                         },
                         "drain"));
-        // Calls to discovery may wait their turn: the first goes out while the process still warms up.
+        // Started before the warm-up, because calls to discovery may have to wait before they are served.
         node.startWithoutListening();
         StartupWarmUp.run(config, loop);
         Future<SocketAddress> listening = node.listen().awaitUninterruptibly();
@@ -199,29 +212,30 @@
         EventLog.event(LogEvent.named("start")
                 .with("listen", config.listen())
                 .with("discovery", config.discovery())
-                .with("nodes", config.settings().instances)
-                .with("list_on_request", config.settings().endpointListPolled)
-                .with("ask_within_us", config.settings().pollIntervalUs)
+                .with("instances", config.settings().instances)
+                .with("endpoint_list_polled", config.settings().endpointListPolled)
+                .with("poll_interval_us", config.settings().pollIntervalUs)
                 .with("drain_grace_us", config.settings().drainGraceUs)
-                .with("known_version", config.cachedEndpoints().version())
-                .with("known_servers", config.cachedEndpoints().endpoints().size()));
+                .with("cached_version", config.cachedEndpoints().version())
+                .with("cached_endpoints", config.cachedEndpoints().endpoints().size()));
     }
 
+    /** Creates an event loop with a thread of its own. */
     public static EventLoop newLoop() {
         return (EventLoop) new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory()).next();
     }
 
-    /** Begins to serve; the future is done once clients can connect, with where they can. */
+    /** Starts the node. Returns a future that completes with the listening address once clients can connect. */
     public Future<SocketAddress> start() {
         startWithoutListening();
         return listen();
     }
 
-    /** Takes up the list that is known and asks for what has changed since. */
+    /** Loads the cached endpoint list, and starts the discovery client unless the module requests endpoint lists. */
     void startWithoutListening() {
         loop.execute(() -> {
             if (config.discovery() == null) {
-                // Nothing can change the list: it holds for good.
+                // Without discovery, the configured endpoint list never changes and needs no lease.
                 isReady = true;
             } else {
                 notifyLeaseChanged(EndpointListLease.NOT_GRANTED);
@@ -237,23 +251,30 @@
                     ConnectionLimits.HOUSEKEEPING_INTERVAL_MS,
                     TimeUnit.MILLISECONDS);
             if (config.discovery() != null && !config.settings().endpointListPolled) {
-                // The module asks for no lists where they are pushed.
+                // The module calls watchEndpointList() only where endpoint lists are polled.
                 discovery.start();
             }
         });
     }
 
-    /** Lets clients connect. The front waits for more, which is that the node is ready. */
+    /**
+     * Opens the listener. The front sends requests to the node only once the readiness check succeeds too.
+     *
+     * @return a future that completes with the listening address
+     */
     Future<SocketAddress> listen() {
         Promise<SocketAddress> listening = loop.newPromise();
         loop.execute(() -> listen(listening, MAX_LISTEN_ATTEMPTS));
         return listening;
     }
 
-    /** Descriptors of the warm-up come free a moment later, and so may an address that a predecessor held. */
+    /**
+     * Opens the listener, with retries: the descriptors of the start-up warm-up, and the address if a previous process
+     * listened on it, may become free only after a delay.
+     */
     private void listen(Promise<SocketAddress> listening, int attemptsLeft) {
         if (downstream.isDraining()) {
-            listening.setFailure(new IllegalStateException("told to end before"));
+            listening.setFailure(new IllegalStateException("graceful shutdown began before the listener was open"));
             return;
         }
         downstream.listen(config.listen()).addListener((ChannelFuture opened) -> {
@@ -268,55 +289,64 @@
     }
 
     /**
-     * Takes over what may change while a node runs, which is where discovery is.
+     * Applies the settings that may change while the node runs, which is the address of discovery only.
      *
-     * @param signalledAtUs when the signal came that told of the change, by {@link #nowUs}
+     * @param signalledAtUs when the signal to reload arrived, as measured by {@link #nowUs}
      */
-    void reload(ProxyConfiguration changed, long signalledAtUs) {
-        loop.execute(() -> discovery.moveTo(changed.discovery(), signalledAtUs));
+    void reload(ProxyConfiguration newConfig, long signalledAtUs) {
+        loop.execute(() -> discovery.moveTo(newConfig.discovery(), signalledAtUs));
     }
 
-    /** The time by the node's clock, on any thread. */
+    /** Returns the time of the node's clock in microseconds. May be called on any thread. */
     long nowUs() {
         return clock.nowUs();
     }
 
-    /** Whether requests may be sent. To be called on the event loop. */
+    /**
+     * Returns whether the node holds a lease on its endpoint list, without which it sends no requests. Must be called
+     * on the event loop.
+     */
     boolean isLeaseHeld() {
         return pool.isLeaseHeld();
     }
 
-    /** Says no to the front, serves what comes in the time left, and calls back once nothing is held. */
-    public void beginGracefulShutdown(ShutdownSchedule schedule, Runnable whenEmpty) {
+    /**
+     * Begins a graceful shutdown: the readiness check fails, and requests are served as the schedule allows.
+     *
+     * @param whenDrained called on the event loop once no client connection is open
+     */
+    public void beginGracefulShutdown(ShutdownSchedule schedule, Runnable whenDrained) {
         loop.execute(() -> {
             shutdownResponseDeadlineUs = clock.nowUs() + schedule.responseDeadlineUs();
-            downstream.drain(schedule.servingTimeUs(), whenEmpty);
+            downstream.drain(schedule.servingTimeUs(), whenDrained);
             loop.schedule(this::failInFlight, schedule.responseDeadlineUs(), TimeUnit.MICROSECONDS);
         });
     }
 
-    /** The process is about to end: who has asked before that was known, and would wait past it, is told. */
+    /** Fails the requests that still have no final response shortly before the process is killed. */
     private void failInFlight() {
-        for (InFlightRequest left : List.copyOf(inFlight.values())) {
-            if (!left.isEnded) {
-                abandon(left, HttpResponseStatus.GATEWAY_TIMEOUT);
+        for (InFlightRequest request : List.copyOf(inFlight.values())) {
+            if (!request.isEnded) {
+                abandon(request, HttpResponseStatus.GATEWAY_TIMEOUT);
             }
         }
     }
 
-    /** Answers without the module, which is told that nothing more is owed. */
+    /** Responds without a decision of the module, and notifies the module that the request has ended. */
     private void abandon(InFlightRequest request, HttpResponseStatus status) {
         respond(request, status, NO_BODY, 0);
         events.add(null, () -> loadBalancer.onClientDisconnected(clock.nowUs(), request.id));
     }
 
-    /** To be called on the event loop. */
+    /** Returns the current counts. Must be called on the event loop. */
     ProxyNodeCounts counts() {
         return new ProxyNodeCounts(
                 inFlight.size(), pool.exchangeCount(), downstream.connectionCount(), pool.openDescriptorCount());
     }
 
-    /** Lets go of all sockets and timers at once. */
+    /**
+     * Closes the clients' and endpoints' connections and the listener at once, and cancels the node's periodic tasks.
+     */
     void close() {
         loop.execute(() -> {
             housekeeping.cancel(false);
@@ -332,8 +362,9 @@
 
     private void notifyEndpointList(EndpointList list, EndpointListKind kind) {
         events.add(null, () -> {
-            // The pool first, as the module sends to new servers at once. What it frees from a draining
-            // server is told after the list: the module would else send it there again.
+            // The pool is updated first, because the module may send requests to new endpoints at once. The attempts
+            // that the pool ends on a draining endpoint are reported after the list; otherwise the module would retry
+            // them on that endpoint.
             pool.onEndpointList(list);
             loadBalancer.onEndpointList(
                     clock.nowUs(),
@@ -344,7 +375,9 @@
         });
     }
 
-    /** In order with the lists, as a lease holds for the list that came before it. */
+    /**
+     * Queues a change of the lease behind the endpoint lists, because a lease applies to the list received before it.
+     */
     private void notifyLeaseChanged(long untilUs) {
         events.add(null, () -> {
             pool.setLeaseEnd(untilUs);
@@ -359,21 +392,21 @@
             throw new BadRequestException(
                     HttpProtocol.TRANSACTION_ID_HEADER, request.transactionId(), "is that of an open request");
         }
-        // The client counts from when it sent the request, not from when earlier ones on its connection are
-        // answered.
+        // The deadline counts from the arrival of the request, not from the responses to earlier requests on the same
+        // connection.
         long deadlineUs = Math.min(arrivedAtUs + request.remainingUs(), shutdownResponseDeadlineUs);
-        InFlightRequest taken = new InFlightRequest(++lastRequestId, request, client, deadlineUs);
-        openRequests.put(request.transactionId(), taken);
-        inFlight.put(taken.id, taken);
+        InFlightRequest accepted = new InFlightRequest(++lastRequestId, request, client, deadlineUs);
+        openRequests.put(request.transactionId(), accepted);
+        inFlight.put(accepted.id, accepted);
         events.add(
-                taken,
+                accepted,
                 () -> loadBalancer.onRequest(
                         clock.nowUs(),
                         new Request(
-                                taken.id,
+                                accepted.id,
                                 request.classIndex(),
                                 request.tenantIndex(),
-                                Math.max(0, taken.deadlineUs - clock.nowUs()),
+                                Math.max(0, accepted.deadlineUs - clock.nowUs()),
                                 request.estimatedWorkUs(),
                                 request.isRetry(),
                                 request.affinityKey())));
@@ -386,7 +419,7 @@
         EventLog.requestEvent(() -> LogEvent.named("attempt_ended")
                 .with("request", request.request.transactionId())
                 .with("attempt", attempt.number())
-                .with("server", attempt.endpointId())
+                .with("endpoint", attempt.endpointId())
                 .with("result", result)
                 .with("after_us", clock.nowUs() - attempt.startedAtUs()));
         if (result == AttemptResult.OK && !request.isEnded) {
@@ -419,29 +452,30 @@
         request.attempts.forEach(Attempt::cancelIfNotSent);
     }
 
-    /** The one final answer; nothing is sent for the request after it. */
+    /** Sends the final response, unless the request has ended. No attempt of the request is sent afterwards. */
     private void respond(InFlightRequest request, HttpResponseStatus status, byte[] body, long retryAfterUs) {
         if (request.isEnded) {
             return;
         }
-        EventLog.requestEvent(() -> LogEvent.named("answer")
+        EventLog.requestEvent(() -> LogEvent.named("response")
                 .with("request", request.request.transactionId())
                 .with("status", status.code())
                 .with("attempts", request.attempts.size())
-                .with("left_us", request.deadlineUs - clock.nowUs())
+                .with("remaining_us", request.deadlineUs - clock.nowUs())
                 .with("retry_after_us", retryAfterUs));
         endRequest(request);
         request.client.respond(status, body, retryAfterUs);
         removeIfCompleted(request);
     }
 
-    // ---------------------------------------------------------------- what the module asks for
+    // ---------------------------------------------------------------- actions of the module
 
     @Override
-    public void startAttempt(long requestId, String serverId, long untilUs) {
+    public void startAttempt(long requestId, String endpointId, long untilUs) {
         InFlightRequest request = inFlight.get(requestId);
-        long until = untilUs == 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs);
-        Attempt attempt = new Attempt(request, serverId, until, config.settings(), pool, clock, this::onAttemptEnded);
+        long deadlineUs = untilUs == 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs);
+        Attempt attempt =
+                new Attempt(request, endpointId, deadlineUs, config.settings(), pool, clock, this::onAttemptEnded);
         request.attempts.add(attempt);
         attempt.start(loop);
     }
@@ -471,7 +505,7 @@
         }
     }
 
-    /** The module keeps one wake-up pending at most: an earlier one takes the place of a later. */
+    /** {@inheritDoc} Replaces a timer that is already set: the module has one pending timer at most. */
     @Override
     public void setTimer(long atUs) {
         if (timer != null) {
@@ -497,13 +531,13 @@
     }
 
     @Override
-    public void closeIdleConnections(String serverId) {
-        pool.closeIdleConnections(serverId);
+    public void closeIdleConnections(String endpointId) {
+        pool.closeIdleConnections(endpointId);
     }
 
     @Override
     public void watchEndpointList() {
-        // Which calls are made for that, and when, is the scheduler's word.
+        // The call scheduler of the discovery client decides which calls are made, and when.
         discovery.start();
     }
 
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyNodeCounts.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyNodeCounts.java
@@ -1,11 +1,11 @@
 package loadbalancer.proxy.lifecycle;
 
 /**
- * What a node holds at one moment.
+ * The numbers of requests and connections that a node holds at one moment.
  *
- * @param requests in flight, those included whose last attempt has not ended
- * @param exchanges that a connection to a server carries, or that await one
- * @param clients connections
- * @param descriptors of clients and servers together
+ * @param requests requests in flight, including those that have ended but whose last attempt has not
+ * @param exchanges upstream exchanges that use a connection or await one
+ * @param clients client connections
+ * @param descriptors descriptors of client and upstream connections
  */
 record ProxyNodeCounts(int requests, int exchanges, int clients, int descriptors) {}
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyNodeDependencies.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyNodeDependencies.java
@@ -17,14 +17,14 @@
 import loadbalancer.proxy.upstream.UpstreamChannel;
 
 /**
- * What a node is built from. A test replaces single parts, for example by channels whose system calls fail.
+ * The dependencies of a node. Tests replace some of them, for example by channels whose system calls fail.
  *
- * @param clock the node's time
- * @param connectionReuseDelayUs how long a connection to a server carries nothing after a response
- * @param loadBalancers makes the decision module for the actions that it may ask for
- * @param upstreamChannels makes connections to servers
- * @param discoveryChannels makes connections to discovery
- * @param listeners makes the socket on which clients connect
+ * @param clock the clock of the node
+ * @param connectionReuseDelayUs the time after a response for which an upstream connection is not used again
+ * @param loadBalancers creates the decision module, given the actions that the module may request
+ * @param upstreamChannels creates the channels to endpoints
+ * @param discoveryChannels creates the channels to discovery
+ * @param listeners creates the channel that accepts client connections
  */
 record ProxyNodeDependencies(
         Clock clock,
@@ -34,6 +34,7 @@
         ChannelFactory<? extends SocketChannel> discoveryChannels,
         ChannelFactory<ClientListener> listeners) {
 
+    /** Returns the dependencies of a node in production. */
     static ProxyNodeDependencies standard(ProxyConfiguration config) {
         return new ProxyNodeDependencies(
                 new SystemClock(),
--- a/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/StartupWarmUp.java
@@ -44,25 +44,35 @@
 import loadbalancer.proxy.resources.HeapBuffers;
 
 /**
- * Warms a starting process before it listens: a node apart serves requests between a client and a server of
- * its own, on the address that it may listen on. Cold code under full load stood still for up to 90 ms at a
- * time in the first second, and requests ran out of time unanswered.
+ * The start-up warm-up of a node's process before it listens. A separate node, on the IP address of the listener,
+ * serves requests from an internal client to an internal server, so that the JVM loads and compiles the code for
+ * requests. Without the warm-up, a node under full load pauses for up to 90 ms at a time in the first second, and
+ * requests exceed their deadlines without a response.
  */
 final class StartupWarmUp {
-    /** Past the compiler's threshold of 200 calls, so that what serves a request is compiled and not only
-     * loaded. A node that begins cold under full load uses up its share of the core: its turns last 100 ms
-     * and more, and clients that give up and ask again make it more work. With half as many a node alone was
-     * ready half a second sooner and lost more than that by it. */
+    /**
+     * The maximum number of warm-up requests. It exceeds the JIT compiler's threshold of 200 calls, so that the code
+     * that serves a request is compiled and not only loaded. A node that starts cold under full load uses up its share
+     * of the core: an iteration of the event loop takes 100 ms or more, and clients that time out and retry add to the
+     * load. With half as many requests, a single node is ready 500 ms sooner but loses more than that in the load that
+     * follows.
+     */
     static final int MAX_REQUESTS = 250;
-    /** What comes to a node in this time is enough: where few requests come, cold code may meet them. Nodes
-     * that were killed together are missed for as long as this takes them. */
+    /**
+     * The number of warm-up requests is the number that tenants may send to a node in this time. A node with little
+     * traffic may serve it with cold code, and nodes that were killed together are unavailable during their warm-up.
+     */
     private static final double SECONDS_OF_EXPECTED_TRAFFIC = 1;
-    /** Each class of requests some times, so that all code for them is loaded at least. */
+    /**
+     * The minimum number of warm-up requests, so that requests of each class at least load all code that serves them.
+     */
     private static final int MIN_REQUESTS = 40;
 
     private static final int CLIENT_CONNECTIONS = 4;
-    /** A start must not wait for longer, however little CPU there is. On half a core that another node shares
-     * 500 ms were over after 60 requests. Harm: a restart takes so much longer. */
+    /**
+     * The maximum duration of the warm-up, which delays the start of the node by as much. With 500 ms, a node that
+     * shares half a core with another node serves only 60 requests.
+     */
     private static final long MAX_DURATION_MS = 2_000;
 
     private final EventLoop loop;
@@ -80,20 +90,23 @@
         remainingRequests = new CountDownLatch(requestCount);
     }
 
-    /** How many to serve, by what tenants may ask of this node; the most where any may ask without limit. */
+    /** Returns the number of warm-up requests for the tenants' quotas, or the maximum if any tenant has no quota. */
     static int requestCount(LoadBalancerSettings settings) {
         if (settings.tenants.stream().anyMatch(tenant -> tenant.quotaPerSecond() <= 0)) {
             return MAX_REQUESTS;
         }
-        double perS =
+        double requestsPerSecond =
                 settings.tenants.stream().mapToDouble(Tenant::quotaPerSecond).sum() / settings.instances;
-        return (int) Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, SECONDS_OF_EXPECTED_TRAFFIC * perS));
+        return (int) Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, SECONDS_OF_EXPECTED_TRAFFIC * requestsPerSecond));
     }
 
     /**
-     * Plays until enough has been served or the time is up; it leaves nothing open.
+     * Runs the warm-up until all requests are served or its time is over, and closes its node and server. Must not be
+     * called on the event loop, because it blocks.
      *
-     * @return how many were served; 0 if any was turned down, as then it was something else that got warm
+     * @param loop the event loop of the node that starts
+     * @return the number of served requests, or 0 if a request was refused, because a refused request warms up other
+     * code than a served one
      */
     static long run(ProxyConfiguration config, EventLoop loop) {
         return new StartupWarmUp(loop, config.settings()).run(config);
@@ -108,10 +121,10 @@
                 .bind(new InetSocketAddress(config.listen().getAddress(), 0))
                 .syncUninterruptibly()
                 .channel();
-        EndpointList.AddressedEndpoint host = new EndpointList.AddressedEndpoint(
-                new EndpointListEntry("rehearsal", 0, 0, EndpointState.READY, 1, 0),
+        EndpointList.AddressedEndpoint endpoint = new EndpointList.AddressedEndpoint(
+                new EndpointListEntry("warm-up", 0, 0, EndpointState.READY, 1, 0),
                 (InetSocketAddress) server.localAddress());
-        ProxyNode node = new ProxyNode(config.forStartUpWarmUp(new EndpointList(0, true, List.of(host))), loop);
+        ProxyNode node = new ProxyNode(config.forStartUpWarmUp(new EndpointList(0, true, List.of(endpoint))), loop);
         SocketAddress listening = node.start().syncUninterruptibly().getNow();
         Bootstrap client = new Bootstrap()
                 .group(loop)
@@ -131,22 +144,25 @@
         return isRequestRefused ? 0 : requestCount - remainingRequests.getCount();
     }
 
-    private ChannelInitializer<SocketChannel> pipeline(boolean server) {
+    private ChannelInitializer<SocketChannel> pipeline(boolean isServer) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(SocketChannel channel) {
-                ChannelHandler codec = server ? new HttpServerCodec() : new HttpClientCodec();
+                ChannelHandler codec = isServer ? new HttpServerCodec() : new HttpClientCodec();
                 channel.pipeline()
                         .addLast(
                                 codec,
                                 new HttpObjectAggregator(ConnectionLimits.MAX_REQUEST_BODY_BYTES),
-                                server ? new WarmUpServer() : new WarmUpClient(),
+                                isServer ? new WarmUpServer() : new WarmUpClient(),
                                 new CloseOnExceptionHandler());
             }
         };
     }
 
-    /** The node closes with requests under way: what resets of them reach the far sides is no fault. */
+    /**
+     * Closes a connection on an exception without logging it. The node closes with requests in flight, so connections
+     * of the internal client and server are reset.
+     */
     static final class CloseOnExceptionHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
@@ -154,7 +170,7 @@
         }
     }
 
-    /** Answers all that it is asked. */
+    /** Responds to every request with 200 and a body of 64 bytes. */
     private static final class WarmUpServer extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
@@ -165,7 +181,10 @@
         }
     }
 
-    /** Asks for each class in turn, the next once the last is answered, until the node closes. */
+    /**
+     * Sends requests of each class in turn, one at a time on its connection, until all warm-up requests are served or
+     * one of its requests is refused.
+     */
     private final class WarmUpClient extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         public void channelActive(ChannelHandlerContext context) {
@@ -185,21 +204,21 @@
         }
 
         private void sendRequest(ChannelHandlerContext context) {
-            RequestClass next = classes.get((int) (remainingRequests.getCount() % classes.size()));
-            boolean safe = next.idempotency() == Idempotency.IDEMPOTENT;
+            RequestClass requestClass = classes.get((int) (remainingRequests.getCount() % classes.size()));
+            boolean isIdempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
             FullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1,
-                    safe ? HttpMethod.GET : HttpMethod.POST,
-                    "/api/rehearsal",
-                    Unpooled.wrappedBuffer(new byte[safe ? 0 : 64]));
+                    isIdempotent ? HttpMethod.GET : HttpMethod.POST,
+                    "/api/warm-up",
+                    Unpooled.wrappedBuffer(new byte[isIdempotent ? 0 : 64]));
             request.headers()
-                    .set(HttpHeaderNames.HOST, "rehearsal")
+                    .set(HttpHeaderNames.HOST, "warm-up")
                     .set("X-Txn", Long.toString(++sentRequests))
-                    .set("X-Lane", next.name())
+                    .set("X-Lane", requestClass.name())
                     .set("X-Remaining", "1000m")
-                    .set(HttpHeaderNames.CONTENT_LENGTH, safe ? 0 : 64);
-            if (next.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
-                request.headers().set("Idempotency-Key", "rehearsal");
+                    .set(HttpHeaderNames.CONTENT_LENGTH, isIdempotent ? 0 : 64);
+            if (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+                request.headers().set("Idempotency-Key", "warm-up");
             }
             context.writeAndFlush(request);
         }
--- a/src/main/java/loadbalancer/proxy/routing/Attempt.java
+++ b/src/main/java/loadbalancer/proxy/routing/Attempt.java
@@ -18,13 +18,17 @@
 import loadbalancer.proxy.upstream.UpstreamConnectionPool;
 import loadbalancer.proxy.upstream.UpstreamExchange;
 
-/** One attempt of a request at one server. */
+/** An attempt: a request sent to one endpoint. */
 public final class Attempt implements UpstreamExchange {
     private static final byte[] NO_BODY = {};
 
-    /** What becomes of an attempt. */
+    /** Receives the result of an attempt. */
     public interface Listener {
-        /** Its one end. */
+        /**
+         * Handles the end of an attempt. Called once for each attempt.
+         *
+         * @param body the body of the endpoint's response if the result is OK, otherwise empty
+         */
         void onAttemptEnded(Attempt attempt, AttemptResult result, byte[] body);
     }
 
@@ -40,18 +44,23 @@
     private Future<?> expiry;
     private boolean isCompleted;
 
+    /**
+     * Creates an attempt that {@link #start} sends. Its number is the number of earlier attempts of the request.
+     *
+     * @param deadlineUs the time at which the attempt times out, no later than the deadline of the request
+     */
     public Attempt(
-            InFlightRequest of,
-            String serverId,
-            long untilUs,
+            InFlightRequest request,
+            String endpointId,
+            long deadlineUs,
             LoadBalancerSettings settings,
             UpstreamConnectionPool pool,
             Clock clock,
             Listener listener) {
-        this.request = of;
-        this.number = of.attempts.size();
-        this.endpointId = serverId;
-        this.deadlineUs = untilUs;
+        this.request = request;
+        this.number = request.attempts.size();
+        this.endpointId = endpointId;
+        this.deadlineUs = deadlineUs;
         this.settings = settings;
         this.pool = pool;
         this.clock = clock;
@@ -97,13 +106,16 @@
         return message;
     }
 
-    /** Not if it is answered or its client has left, whether the module has been notified of that or not. */
+    /**
+     * {@inheritDoc} Returns false once the request has its response or its client has disconnected, even if the
+     * decision module has not been notified of that yet.
+     */
     @Override
     public boolean isActive() {
         return !request.isEnded && clock.nowUs() < deadlineUs && request.client.isConnected();
     }
 
-    /** Sends it, unless it may not be sent at all. */
+    /** Sends the attempt, unless its deadline has passed or the request has reached its maximum number of attempts. */
     public void start(EventLoop loop) {
         request.outstandingAttempts++;
         if (deadlineUs <= startedAtUs || number >= settings.maxAttempts) {
@@ -115,17 +127,18 @@
     }
 
     private void expire() {
-        // What never left for want of a connection is known not to have run.
+        // An attempt that was not sent for lack of a connection was certainly not executed.
         onCompleted(pool.abandon(endpointId, this) ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, NO_BODY);
     }
 
-    /** The request is over: what has not been sent whole must not run any more. */
+    /** Cancels the attempt because its request has ended, unless its message has been written completely. */
     public void cancelIfNotSent() {
         if (!isCompleted && pool.withdraw(endpointId, this)) {
             onCompleted(AttemptResult.NOT_SENT, NO_BODY);
         }
     }
 
+    /** Cancels the attempt, unless it has completed. */
     public void cancel() {
         if (!isCompleted) {
             pool.abandon(endpointId, this);
--- a/src/main/java/loadbalancer/proxy/routing/InFlightRequest.java
+++ b/src/main/java/loadbalancer/proxy/routing/InFlightRequest.java
@@ -6,16 +6,16 @@
 import loadbalancer.proxy.downstream.ClientConnection;
 import loadbalancer.proxy.downstream.ClientRequest;
 
-/** A client's request from its coming until its last attempt has ended. */
+/** A client's request, from its arrival until its last attempt has ended. */
 public final class InFlightRequest {
     public final long id;
     public final ClientRequest request;
     public final ClientConnection client;
     public final long deadlineUs;
     public final List<Attempt> attempts = new ArrayList<>(1);
-    /** Attempts whose end the module has not been notified of. */
+    /** The number of attempts whose end the decision module has not been notified of. */
     public int outstandingAttempts;
-    /** Whether it has its final response, or its client has left. */
+    /** Whether the final response has been sent or the client has disconnected. */
     public boolean isEnded;
 
     public InFlightRequest(long id, ClientRequest request, ClientConnection client, long deadlineUs) {
--- a/src/main/java/loadbalancer/proxy/routing/PolicyEventQueue.java
+++ b/src/main/java/loadbalancer/proxy/routing/PolicyEventQueue.java
@@ -8,11 +8,11 @@
 import loadbalancer.proxy.logging.EventLog;
 
 /**
- * The events that the decision module is still to be notified of, in order. Nothing is fed back into the module
- * from inside one of its events.
+ * A queue of the events that the decision module has not been notified of yet, in order. The module is never called
+ * while it handles an event.
  *
- * <p>Events are handed over once all is read that has come on any connection. The module would otherwise, on an
- * event from one, send on a request whose client has left, as the end of that connection is read next.
+ * <p>Events are delivered after all connections with pending input have been read. Otherwise, an event from one
+ * connection could make the module send a request whose client has disconnected, if that disconnect is read next.
  */
 public final class PolicyEventQueue {
     private final EventLoop loop;
@@ -20,17 +20,27 @@
     private final ArrayDeque<Event> events = new ArrayDeque<>();
     private boolean isScheduled;
 
-    /** One event, and the request that it is about, or null. */
-    private record Event(InFlightRequest about, Runnable notification) {}
+    /** An event, and the request that it concerns, or null. */
+    private record Event(InFlightRequest request, Runnable notification) {}
 
-    /** The consumer is given each unended request whose event met a defect. */
-    public PolicyEventQueue(EventLoop loop, Consumer<InFlightRequest> onDefect) {
+    /**
+     * Creates an empty queue.
+     *
+     * @param onFailure called with each request that has not ended and whose event caused an exception
+     */
+    public PolicyEventQueue(EventLoop loop, Consumer<InFlightRequest> onFailure) {
         this.loop = loop;
-        this.onFailure = onDefect;
+        this.onFailure = onFailure;
     }
 
-    public void add(InFlightRequest about, Runnable notification) {
-        events.add(new Event(about, notification));
+    /**
+     * Adds an event.
+     *
+     * @param request the request that the event concerns, or null
+     * @param notification notifies the decision module
+     */
+    public void add(InFlightRequest request, Runnable notification) {
+        events.add(new Event(request, notification));
         schedule();
     }
 
@@ -50,7 +60,7 @@
         } finally {
             isScheduled = false;
             if (!events.isEmpty()) {
-                // One of them has met what could not even be logged; the others still have their turn.
+                // An event caused an exception that could not even be logged. The remaining events are still delivered.
                 schedule();
             }
         }
@@ -60,11 +70,11 @@
         try {
             event.notification.run();
         } catch (RuntimeException | Error e) {
-            // A defect met by one request, or memory that ran out on it, must neither end the node nor leave it
-            // without a response.
-            EventLog.error("event", e);
-            if (event.about != null && !event.about.isEnded) {
-                onFailure.accept(event.about);
+            // A defect or an OutOfMemoryError in one event must neither end the node nor leave the request without a
+            // response.
+            EventLog.error("decision module event failed", e);
+            if (event.request != null && !event.request.isEnded) {
+                onFailure.accept(event.request);
             }
         }
     }
