--- a/src/test/java/loadbalancer/proxy/lifecycle/ClockStepTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ClockStepTest.java
@@ -10,57 +10,62 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** Wall clocks that are stepped, or that do not agree. */
+/**
+ * Guards against decisions that depend on wall clocks: the start time of an endpoint in the endpoint list may be in the
+ * future or in the past of the proxy, and may go back when the endpoint restarts.
+ */
 @Timeout(60)
 class ClockStepTest {
     private static final long HOUR_MS = 3_600_000;
 
-    private static String startedAt(String list, long unixMs) {
+    private static String withStartTime(String list, long unixMs) {
         return list.replace("\"boot_ms\":0", "\"boot_ms\":" + unixMs);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MS, -5_000, 5_000, HOUR_MS})
-    void aServerIsUsedWhateverTheClocksSayOfItsStart(long aheadMs) throws Exception {
+    void endpointIsUsedWhateverItsStartTime(long clockOffsetMs) throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
                 ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            // Whether a server is warm is the module's matter, with tests of its own.
+            // Disables slow start, which other tests cover.
             site.settings.slowStartUs = 0;
             String list = ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready");
-            site.startWithCachedList(startedAt(list, System.currentTimeMillis() + aheadMs));
+            site.startWithCachedList(withStartTime(list, System.currentTimeMillis() + clockOffsetMs));
             assertEquals(200, site.ask(HttpMessages.order("a", "20000m")).status());
             assertEquals(200, site.ask(HttpMessages.order("b", "20000m")).status());
-            assertEquals(1, server.connections.get(), "the connection is used again");
+            assertEquals(
+                    1, server.connections.get(), "upstream connections; the second request must reuse the first one");
         }
     }
 
-    /** Also where a clock that was put back makes the new start the earlier one. */
+    /** The new start time may be earlier than the old one, if the clock of the endpoint was set back. */
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MS, HOUR_MS})
-    void aRestartClosesWhatWasOpenToTheProcessBefore(long aheadMs) throws Exception {
+    void changedStartTimeClosesConnectionsToThePreviousProcess(long clockOffsetMs) throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
                 ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            // Whether a server is warm is the module's matter, with tests of its own.
+            // Disables slow start, which other tests cover.
             site.settings.slowStartUs = 0;
             long now = System.currentTimeMillis();
             String list = ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready");
-            site.startWithCachedList(startedAt(list, now));
+            site.startWithCachedList(withStartTime(list, now));
             ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(site.discovery.peers);
             assertEquals(200, site.ask(HttpMessages.order("a", "20000m")).status());
             ScriptedHttpServer.Peer before = ScriptedHttpServer.next(server.peers);
-            watch.write(ProxyFixture.chunk(startedAt(list.replace("\"rev\":1", "\"rev\":2"), now + aheadMs) + "\n"));
+            watch.write(ProxyFixture.chunk(
+                    withStartTime(list.replace("\"rev\":1", "\"rev\":2"), now + clockOffsetMs) + "\n"));
             assertEquals(before, ScriptedHttpServer.next(server.ended));
             assertEquals(200, site.ask(HttpMessages.order("b", "20000m")).status());
         }
     }
 
     @Test
-    void aWordThatChangesNothingOfAServerKeepsItsConnections() throws Exception {
+    void unchangedEndpointEntryKeepsConnections() throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
                 ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            // Whether a server is warm is the module's matter, with tests of its own.
+            // Disables slow start, which other tests cover.
             site.settings.slowStartUs = 0;
-            String list = startedAt(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"), HOUR_MS);
+            String list = withStartTime(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"), HOUR_MS);
             site.startWithCachedList(list);
             ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(site.discovery.peers);
             assertEquals(200, site.ask(HttpMessages.order("a", "20000m")).status());
--- a/src/test/java/loadbalancer/proxy/lifecycle/DeadlineTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/DeadlineTest.java
@@ -13,7 +13,7 @@
 import loadbalancer.testsupport.ScriptedHttpServer;
 import loadbalancer.testsupport.SteppedClock;
 
-/** Deadlines: from when they count, what is passed on, and what is no longer sent. */
+/** Deadlines of pipelined requests, which count from the arrival of the request. */
 @Timeout(60)
 class DeadlineTest {
     private static final long SECOND_US = 1_000_000;
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void aPipelinedRequestHasItsTimeFromItsLastByteAndNotFromItsTurn() throws Exception {
+    void deadlineOfAPipelinedRequestCountsFromItsLastByte() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
         SteppedClock clock = new SteppedClock();
         try (ScriptedHttpServer server = ScriptedHttpServer.servingFrom(first, "x");
@@ -44,12 +44,14 @@
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
             long remaining = remainingUs(ScriptedHttpServer.next(server.requests));
-            assertTrue(remaining <= 10 * SECOND_US, "30 s, of which 20 have passed, but " + remaining + " us");
+            assertTrue(
+                    remaining <= 10 * SECOND_US,
+                    "at most 10 s of 30 s must remain after 20 s, but " + remaining + " us remain");
         }
     }
 
     @Test
-    void aPipelinedRequestWhoseTimeIsOverAtItsTurnIsNotSent() throws Exception {
+    void pipelinedRequestIsNotSentAfterItsDeadline() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
         SteppedClock clock = new SteppedClock();
         try (ScriptedHttpServer server = ScriptedHttpServer.servingFrom(first, "x");
--- a/src/test/java/loadbalancer/proxy/lifecycle/FaultMatrixTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/FaultMatrixTest.java
@@ -29,25 +29,25 @@
 import loadbalancer.testsupport.ScriptedHttpServer;
 
 /**
- * One request, one fault at a named point of its way, and the same with the node being shut down, reconfigured or
- * without discovery. What must hold is the same in each case: one whole correct response in time or none to a
- * client that has left, nothing sent for who has left, nothing new to a server that drains or is gone, nothing
- * unsafe run twice, and nothing counted for good.
+ * Injects one fault at a defined point of one request, also while the node shuts down, reloads its configuration or has
+ * no discovery. Each case must meet the same invariants: a connected client gets one complete, correct response;
+ * nothing is sent for a client that has disconnected, and nothing new to an endpoint that drains or is gone; a request
+ * that is not idempotent is executed at most once; and no request, connection or descriptor leaks.
  */
 @Timeout(60)
 class FaultMatrixTest {
-    /** How far the request has come as the fault happens. */
+    /** The progress of the request when the fault is injected. */
     private enum Point {
         BEFORE_ACCEPT,
         ACCEPTED,
-        HALF_READ,
+        PARTLY_READ,
         READ,
         DISPATCHED,
-        HALF_WRITTEN,
+        PARTLY_WRITTEN,
         WRITTEN,
         RESPONSE_HEAD,
         RESPONSE_BODY,
-        ANSWERED;
+        RESPONDED;
 
         boolean isBefore(Point other) {
             return compareTo(other) < 0;
@@ -58,30 +58,30 @@
         NONE,
         CLIENT_CLOSES,
         CLIENT_RESETS,
-        SERVER_ENDS,
-        SERVER_RESETS,
-        SERVER_DRAINS,
-        SERVER_GOES,
-        SERVER_MOVES;
+        ENDPOINT_CLOSES,
+        ENDPOINT_RESETS,
+        ENDPOINT_DRAINS,
+        ENDPOINT_REMOVED,
+        ENDPOINT_ADDRESS_CHANGES;
 
-        boolean isOfClient() {
+        boolean isClientFault() {
             return this == CLIENT_CLOSES || this == CLIENT_RESETS;
         }
 
-        boolean isOfServer() {
-            return this == SERVER_ENDS || this == SERVER_RESETS;
+        boolean isEndpointFault() {
+            return this == ENDPOINT_CLOSES || this == ENDPOINT_RESETS;
         }
 
-        boolean isOfList() {
-            return compareTo(SERVER_DRAINS) >= 0;
+        boolean isListChange() {
+            return compareTo(ENDPOINT_DRAINS) >= 0;
         }
     }
 
-    private enum Meanwhile {
+    private enum ConcurrentEvent {
         NOTHING,
         SHUTDOWN,
         RECONFIGURATION,
-        OUTAGE_OF_DISCOVERY
+        DISCOVERY_OUTAGE
     }
 
     private static final String TXN = "subject";
@@ -89,12 +89,12 @@
 
     static Stream<Arguments> cases() {
         List<Arguments> cases = new ArrayList<>();
-        for (boolean unsafe : new boolean[] {true, false}) {
+        for (boolean isUnsafe : new boolean[] {true, false}) {
             for (Point point : Point.values()) {
                 for (Fault fault : Fault.values()) {
-                    for (Meanwhile meanwhile : Meanwhile.values()) {
-                        if (makesSense(point, fault, meanwhile)) {
-                            cases.add(Arguments.of(unsafe, point, fault, meanwhile));
+                    for (ConcurrentEvent concurrentEvent : ConcurrentEvent.values()) {
+                        if (isPossible(point, fault, concurrentEvent)) {
+                            cases.add(Arguments.of(isUnsafe, point, fault, concurrentEvent));
                         }
                     }
                 }
@@ -103,40 +103,43 @@
         return cases.stream();
     }
 
-    private static boolean makesSense(Point point, Fault fault, Meanwhile meanwhile) {
-        if (fault.isOfServer() && point.isBefore(Point.HALF_WRITTEN)) {
+    private static boolean isPossible(Point point, Fault fault, ConcurrentEvent concurrentEvent) {
+        if (fault.isEndpointFault() && point.isBefore(Point.PARTLY_WRITTEN)) {
             return false;
         }
-        // Without discovery no change of the list is notified.
-        return !fault.isOfList() || meanwhile != Meanwhile.OUTAGE_OF_DISCOVERY;
+        // Without discovery, the node receives no change of the endpoint list.
+        return !fault.isListChange() || concurrentEvent != ConcurrentEvent.DISCOVERY_OUTAGE;
     }
 
     @ParameterizedTest
     @MethodSource("cases")
-    void theInvariantsHold(boolean unsafe, Point point, Fault fault, Meanwhile meanwhile) throws Exception {
-        try (Play play = new Play(unsafe, point, fault, meanwhile)) {
-            play.run();
+    void invariantsHoldUnderEachFault(boolean isUnsafe, Point point, Fault fault, ConcurrentEvent concurrentEvent)
+            throws Exception {
+        try (FaultCase faultCase = new FaultCase(isUnsafe, point, fault, concurrentEvent)) {
+            faultCase.run();
         }
     }
 
-    /** One case: a node, a server that gets the request, another that is ready behind it, and the client. */
-    private static final class Play implements AutoCloseable {
-        private final boolean unsafe;
+    /**
+     * One case: a node, an endpoint that receives the request, another endpoint that becomes ready later, and a client.
+     */
+    private static final class FaultCase implements AutoCloseable {
+        private final boolean isUnsafe;
         private final Point point;
         private final Fault fault;
-        private final Meanwhile meanwhile;
+        private final ConcurrentEvent concurrentEvent;
 
         private final CountDownLatch reached = new CountDownLatch(1);
         private final CountDownLatch release = new CountDownLatch(1);
-        private final BlockingQueue<StallingChannel> stalling = new LinkedBlockingQueue<>();
-        /** The numbers of servers in each list that the module was notified of. */
+        private final BlockingQueue<StallingChannel> stallingChannels = new LinkedBlockingQueue<>();
+        /** The number of endpoints in each endpoint list that the module was notified of. */
         private final BlockingQueue<Integer> lists = new LinkedBlockingQueue<>();
 
-        private final BlockingQueue<ScriptedHttpServer.Peer> carriers = new LinkedBlockingQueue<>();
-        private final ScriptedHttpServer first = new ScriptedHttpServer(this::answerInSteps);
+        private final BlockingQueue<ScriptedHttpServer.Peer> requestPeers = new LinkedBlockingQueue<>();
+        private final ScriptedHttpServer first = new ScriptedHttpServer(this::respondInSteps);
         private final ScriptedHttpServer second = new ScriptedHttpServer((request, peer) ->
                 peer.write(HttpMessages.ok("second " + request.headers().get("x-txn"))));
-        private final ScriptedHttpServer elsewhere =
+        private final ScriptedHttpServer newDiscovery =
                 new ScriptedHttpServer((request, peer) -> peer.write(ProxyFixture.watchResponseHead()
                         + ProxyFixture.chunk(
                                 list(100, "s0=" + first.endpoint() + "=Ready", "s1=" + second.endpoint() + "=Ready"))));
@@ -144,11 +147,11 @@
         private ScriptedHttpServer.Peer watch;
         private Socket client;
 
-        Play(boolean unsafe, Point point, Fault fault, Meanwhile meanwhile) throws IOException {
-            this.unsafe = unsafe;
+        FaultCase(boolean isUnsafe, Point point, Fault fault, ConcurrentEvent concurrentEvent) throws IOException {
+            this.isUnsafe = isUnsafe;
             this.point = point;
             this.fault = fault;
-            this.meanwhile = meanwhile;
+            this.concurrentEvent = concurrentEvent;
         }
 
         private static String list(int version, String... entries) {
@@ -156,18 +159,18 @@
         }
 
         private String request() {
-            return unsafe ? HttpMessages.order(TXN, "30000m") : HttpMessages.page("/api/p", TXN, "30000m");
+            return isUnsafe ? HttpMessages.order(TXN, "30000m") : HttpMessages.page("/api/p", TXN, "30000m");
         }
 
-        // ------------------------------------------------------------ the way to the point
+        // ------------------------------------------------------------ progress to the point
 
-        private void answerInSteps(HttpMessages.Message request, ScriptedHttpServer.Peer peer) throws IOException {
+        private void respondInSteps(HttpMessages.Message request, ScriptedHttpServer.Peer peer) throws IOException {
             String body = "first " + request.headers().get("x-txn");
             if (!request.headers().get("x-txn").equals(TXN)) {
                 peer.write(HttpMessages.ok(body));
                 return;
             }
-            carriers.add(peer);
+            requestPeers.add(peer);
             String response = HttpMessages.ok(body);
             int head = response.indexOf(body);
             int sent =
@@ -185,12 +188,12 @@
             }
         }
 
-        private LoadBalancer watched(LoadBalancer module) {
+        private LoadBalancer intercepting(LoadBalancer module) {
             return (LoadBalancer) Proxy.newProxyInstance(
                     LoadBalancer.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (proxy, method, args) -> {
                         boolean isRequest = method.getName().equals("onRequest");
                         if (isRequest && point == Point.READ) {
-                            holdUp();
+                            blockUntilReleased();
                         }
                         try {
                             return method.invoke(module, args);
@@ -198,7 +201,7 @@
                             throw e.getCause();
                         } finally {
                             if (isRequest && point == Point.DISPATCHED) {
-                                holdUp();
+                                blockUntilReleased();
                             }
                             if (method.getName().equals("onEndpointList")) {
                                 lists.add(((List<?>) args[2]).size());
@@ -207,53 +210,53 @@
                     });
         }
 
-        /** The loop stands still until the fault has happened. */
-        private void holdUp() throws InterruptedException {
+        /** Blocks the event loop until the fault has been injected. */
+        private void blockUntilReleased() throws InterruptedException {
             reached.countDown();
             release.await();
         }
 
-        private boolean isHeldUp() {
+        private boolean isLoopBlocked() {
             return point == Point.READ || point == Point.DISPATCHED;
         }
 
         private void start() throws Exception {
-            site.loadBalancers = actions -> watched(new ServiceQLoadBalancer(site.settings, 7, actions));
-            if (point == Point.HALF_WRITTEN) {
+            site.loadBalancers = actions -> intercepting(new ServiceQLoadBalancer(site.settings, 7, actions));
+            if (point == Point.PARTLY_WRITTEN) {
                 site.upstreamChannels = this::stallingFirst;
             }
-            // The second is ready only once the request is on its way to the first.
+            // The second endpoint becomes ready only after the request has been sent to the first one.
             site.startWithCachedList(
                     list(1, "s0=" + first.endpoint() + "=Ready", "s1=" + second.endpoint() + "=Terminating"));
             ScriptedHttpServer.next(lists);
             watch = ScriptedHttpServer.next(site.discovery.peers);
         }
 
-        /** Only the first connection takes its request in part. */
+        /** Returns a channel that stalls after a part of the request for the first connection, then normal channels. */
         private UpstreamChannel stallingFirst() {
             if (reached.getCount() == 0) {
                 return new UpstreamChannel();
             }
             StallingChannel channel = new StallingChannel(reached);
-            stalling.add(channel);
+            stallingChannels.add(channel);
             return channel;
         }
 
-        private void goToThePoint() throws Exception {
-            CountDownLatch heldUp = point == Point.BEFORE_ACCEPT ? BacklogTest.blockEventLoop(site.loop) : null;
+        private void advanceToPoint() throws Exception {
+            CountDownLatch loopBlock = point == Point.BEFORE_ACCEPT ? BacklogTest.blockEventLoop(site.loop) : null;
             client = site.connect();
             switch (point) {
                 case BEFORE_ACCEPT -> {
                     ProxyFixture.write(client, request());
-                    injectIfOfClient();
-                    heldUp.countDown();
+                    injectClientFault();
+                    loopBlock.countDown();
                 }
                 case ACCEPTED -> site.awaitPriorInputRead();
-                case HALF_READ -> {
+                case PARTLY_READ -> {
                     ProxyFixture.write(client, request().substring(0, 40));
                     site.awaitPriorInputRead();
                 }
-                case ANSWERED -> {
+                case RESPONDED -> {
                     ProxyFixture.write(client, request());
                     ScriptedHttpServer.next(first.peers);
                 }
@@ -264,16 +267,16 @@
             }
         }
 
-        private void goOn() throws Exception {
+        private void resume() throws Exception {
             release.countDown();
-            StallingChannel channel = stalling.poll();
+            StallingChannel channel = stallingChannels.poll();
             if (channel != null) {
                 channel.resume();
             }
-            if (!fault.isOfClient()) {
+            if (!fault.isClientFault()) {
                 if (point == Point.ACCEPTED) {
                     ProxyFixture.write(client, request());
-                } else if (point == Point.HALF_READ) {
+                } else if (point == Point.PARTLY_READ) {
                     ProxyFixture.write(client, request().substring(40));
                 }
             }
@@ -287,7 +290,7 @@
             watch.write(ProxyFixture.chunk(firstState.isEmpty() ? list(version, other) : list(version, entry, other)));
         }
 
-        private void injectIfOfClient() throws Exception {
+        private void injectClientFault() throws Exception {
             if (client.isClosed()) {
                 return;
             }
@@ -302,41 +305,40 @@
             notifyList(2, "Ready", first);
             awaitList();
             switch (fault) {
-                case SERVER_ENDS ->
-                    ScriptedHttpServer.next(carriersOf()).socket().shutdownOutput();
-                case SERVER_RESETS -> resetCarrier();
-                case CLIENT_CLOSES, CLIENT_RESETS -> injectIfOfClient();
-                default -> injectIfOfList();
+                case ENDPOINT_CLOSES ->
+                    ScriptedHttpServer.next(requestConnections()).socket().shutdownOutput();
+                case ENDPOINT_RESETS -> resetRequestConnection();
+                case CLIENT_CLOSES, CLIENT_RESETS -> injectClientFault();
+                default -> injectListChange();
             }
-            if (!isHeldUp()) {
-                awaitNoticed();
+            if (!isLoopBlocked()) {
+                awaitFaultDetected();
             }
-            begin();
+            startConcurrentEvent();
         }
 
-        private void resetCarrier() throws Exception {
-            ScriptedHttpServer.next(carriersOf()).reset();
-            boolean isBeingRead = point == Point.HALF_WRITTEN || point == Point.ANSWERED;
+        private void resetRequestConnection() throws Exception {
+            ScriptedHttpServer.next(requestConnections()).reset();
+            boolean isBeingRead = point == Point.PARTLY_WRITTEN || point == Point.RESPONDED;
             if (isBeingRead) {
-                // A thread that is blocked in a read keeps the socket open until it has returned: only then is the
-                // reset sent.
+                // A thread blocked in a read keeps the socket open until the read returns. Only then is the reset sent.
                 ScriptedHttpServer.next(first.ended);
             }
         }
 
-        private void awaitNoticed() throws Exception {
-            if (fault.isOfClient()) {
+        private void awaitFaultDetected() throws Exception {
+            if (fault.isClientFault()) {
                 site.awaitCounts(counts -> counts.clients() == 0);
-            } else if (fault.isOfServer()) {
+            } else if (fault.isEndpointFault()) {
                 site.awaitPriorInputRead();
             }
         }
 
-        private void injectIfOfList() throws Exception {
+        private void injectListChange() throws Exception {
             switch (fault) {
-                case SERVER_DRAINS -> notifyList(3, "Terminating", first);
-                case SERVER_GOES -> notifyList(3, "", first);
-                case SERVER_MOVES -> notifyList(3, "Ready", second);
+                case ENDPOINT_DRAINS -> notifyList(3, "Terminating", first);
+                case ENDPOINT_REMOVED -> notifyList(3, "", first);
+                case ENDPOINT_ADDRESS_CHANGES -> notifyList(3, "Ready", second);
                 default -> {
                     return;
                 }
@@ -345,105 +347,114 @@
         }
 
         private void awaitList() throws InterruptedException {
-            if (!isHeldUp()) {
+            if (!isLoopBlocked()) {
                 ScriptedHttpServer.next(lists);
             }
         }
 
-        private void begin() throws Exception {
-            switch (meanwhile) {
+        private void startConcurrentEvent() throws Exception {
+            switch (concurrentEvent) {
                 case SHUTDOWN -> site.node.beginGracefulShutdown(new ShutdownSchedule(1, 25_000_000), () -> {});
                 case RECONFIGURATION ->
                     site.node.reload(
                             new ProxyConfiguration(
                                     site.address(),
-                                    ProxyConfiguration.parseAddress("discovery", elsewhere.endpoint()),
+                                    ProxyConfiguration.parseAddress("discovery", newDiscovery.endpoint()),
                                     7,
                                     site.maxDescriptors,
                                     site.upstreamIdleTimeoutUs,
                                     null,
                                     site.settings),
                             site.node.nowUs());
-                case OUTAGE_OF_DISCOVERY -> site.discovery.stop();
+                case DISCOVERY_OUTAGE -> site.discovery.stop();
                 default -> {}
             }
         }
 
-        /** The connection that carries the request; one that has come in part has not been noted yet. */
-        private BlockingQueue<ScriptedHttpServer.Peer> carriersOf() {
-            return point == Point.HALF_WRITTEN ? first.accepted : carriers;
+        /**
+         * Returns the connections with the request. The scripted endpoint does not list one with a partial request yet.
+         */
+        private BlockingQueue<ScriptedHttpServer.Peer> requestConnections() {
+            return point == Point.PARTLY_WRITTEN ? first.accepted : requestPeers;
         }
 
-        // ------------------------------------------------------------ what must hold
+        // ------------------------------------------------------------ invariants
 
         void run() throws Exception {
             start();
-            goToThePoint();
+            advanceToPoint();
             inject();
-            goOn();
-            if (fault.isOfClient()) {
-                nothingIsSentForWhoHasLeft();
+            resume();
+            if (fault.isClientFault()) {
+                assertNothingSentForDisconnectedClient();
             } else {
-                oneCorrectResponse();
+                assertOneCorrectResponse();
             }
-            nothingNewToWhoLeft();
+            assertNothingNewSentToUnavailableEndpoint();
             client.close();
             site.assertAllResourcesReleased();
-            assertTrue(!unsafe || timesRun() <= 1, "ran " + timesRun() + " times");
+            assertTrue(
+                    !isUnsafe || executionCount() <= 1,
+                    "non-idempotent request was executed " + executionCount() + " times");
         }
 
-        private long timesRun() {
+        private long executionCount() {
             return Stream.of(first, second)
                     .flatMap(server -> server.requests.stream())
                     .filter(request -> TXN.equals(request.headers().get("x-txn")))
                     .count();
         }
 
-        private void oneCorrectResponse() throws Exception {
+        private void assertOneCorrectResponse() throws Exception {
             HttpMessages.Message response;
             try {
                 response = HttpMessages.read(client.getInputStream());
             } catch (IOException e) {
-                // The connection was closed before any of the request had been read.
-                assertTrue(point == Point.ACCEPTED && meanwhile == Meanwhile.SHUTDOWN, e.toString());
-                assertEquals(0, timesRun());
+                // The node closed the connection before it read any byte of the request.
+                assertTrue(point == Point.ACCEPTED && concurrentEvent == ConcurrentEvent.SHUTDOWN, e.toString());
+                assertEquals(0, executionCount());
                 return;
             }
-            if (mayHaveRunWithNoAnswer()) {
+            if (mayHaveRunWithoutResponse()) {
                 assertEquals(502, response.status());
             } else {
                 assertEquals(200, response.status());
                 assertTrue(response.body().endsWith(" " + TXN), response.body());
             }
-            if (meanwhile != Meanwhile.SHUTDOWN) {
-                // A second response, or anything behind the first, would be taken for the answer to this one.
+            if (concurrentEvent != ConcurrentEvent.SHUTDOWN) {
+                // A second response, or bytes after the first one, would be read as the response to this request.
                 HttpMessages.Message next = ProxyFixture.ask(client, HttpMessages.page("/api/p", "next", "20000m"));
                 assertTrue(next.body().endsWith(" next"), next.body());
             }
         }
 
-        /** An order that reached the server whole, and whose response did not come whole. */
-        private boolean mayHaveRunWithNoAnswer() {
-            return unsafe && fault.isOfServer() && !point.isBefore(Point.WRITTEN) && point.isBefore(Point.ANSWERED);
+        /**
+         * Returns whether a non-idempotent request reached the endpoint completely, and its response did not complete.
+         */
+        private boolean mayHaveRunWithoutResponse() {
+            return isUnsafe
+                    && fault.isEndpointFault()
+                    && !point.isBefore(Point.WRITTEN)
+                    && point.isBefore(Point.RESPONDED);
         }
 
-        private void nothingIsSentForWhoHasLeft() throws Exception {
-            if (meanwhile != Meanwhile.SHUTDOWN) {
+        private void assertNothingSentForDisconnectedClient() throws Exception {
+            if (concurrentEvent != ConcurrentEvent.SHUTDOWN) {
                 assertEquals(
                         200,
                         site.ask(HttpMessages.page("/api/p", "later", "20000m")).status());
             }
             if (point.isBefore(Point.WRITTEN)) {
-                assertEquals(0, timesRun());
+                assertEquals(0, executionCount());
             }
         }
 
-        private void nothingNewToWhoLeft() throws Exception {
-            boolean hasLeft = fault == Fault.SERVER_DRAINS || fault == Fault.SERVER_GOES;
-            if (!hasLeft || meanwhile != Meanwhile.NOTHING) {
+        private void assertNothingNewSentToUnavailableEndpoint() throws Exception {
+            boolean isUnavailable = fault == Fault.ENDPOINT_DRAINS || fault == Fault.ENDPOINT_REMOVED;
+            if (!isUnavailable || concurrentEvent != ConcurrentEvent.NOTHING) {
                 return;
             }
-            if (isHeldUp()) {
+            if (isLoopBlocked()) {
                 ScriptedHttpServer.next(lists);
                 ScriptedHttpServer.next(lists);
             }
@@ -462,7 +473,7 @@
             site.close();
             first.close();
             second.close();
-            elsewhere.close();
+            newDiscovery.close();
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/lifecycle/LeaseEnforcementTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/LeaseEnforcementTest.java
@@ -17,13 +17,13 @@
 import loadbalancer.testsupport.ScriptedHttpServer;
 import loadbalancer.testsupport.SteppedClock;
 
-/** What a node does while nothing vouches for its server list, and as that begins and ends. */
+/** A node sends requests to endpoints only while it holds a lease on its endpoint list. */
 @Timeout(60)
 class LeaseEnforcementTest {
-    private static final long PAST_LEASE_US = 20_000_000;
+    private static final long LONGER_THAN_LEASE_US = 20_000_000;
 
-    /** A discovery whose calls have no answer until a latch opens. */
-    private static ProxyFixture answeredFrom(CountDownLatch start) throws Exception {
+    /** Returns a fixture whose discovery sends its first heartbeat once the latch opens. */
+    private static ProxyFixture withHeartbeatAfter(CountDownLatch start) throws Exception {
         return new ProxyFixture(new ScriptedHttpServer((request, peer) -> {
             peer.write(ProxyFixture.watchResponseHead());
             ScriptedHttpServer.await(start);
@@ -32,10 +32,10 @@
     }
 
     @Test
-    void aNodeIsNotReadyAndSendsNothingUntilDiscoveryHasSpoken() throws Exception {
+    void nodeIsNotReadyAndRejectsRequestsUntilDiscoveryResponds() throws Exception {
         CountDownLatch start = new CountDownLatch(1);
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = answeredFrom(start)) {
+                ProxyFixture site = withHeartbeatAfter(start)) {
             site.startWithoutLease(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"));
             assertEquals(503, site.ask(HttpMessages.UP).status());
             HttpMessages.Message refusal = site.ask(HttpMessages.order("early", "5000m"));
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void onceItsLeaseIsOverANodeRefusesAndStaysReadyAndWhatIsOutIsAnswered() throws Exception {
+    void afterLeaseExpiryNewRequestsAreRejectedAndAttemptsInFlightComplete() throws Exception {
         CountDownLatch answered = new CountDownLatch(1);
         SteppedClock clock = new SteppedClock();
         try (ScriptedHttpServer server = ScriptedHttpServer.servingFrom(answered, "x");
@@ -60,7 +60,7 @@
             Socket out = site.connect();
             ProxyFixture.write(out, HttpMessages.order("out", "50000m"));
             ScriptedHttpServer.next(server.requests);
-            clock.advance(PAST_LEASE_US);
+            clock.advance(LONGER_THAN_LEASE_US);
             assertEquals(
                     503, site.ask(HttpMessages.page("/api/p", "new", "5000m")).status());
             assertEquals(200, site.ask(HttpMessages.UP).status());
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void aRetryIsNotSentOnceTheLeaseIsOver() throws Exception {
+    void retryIsNotSentAfterLeaseExpiry() throws Exception {
         CountDownLatch failed = new CountDownLatch(1);
         SteppedClock clock = new SteppedClock();
         ScriptedHttpServer.Script failing = (request, peer) -> {
@@ -92,7 +92,7 @@
             while (one.requests.isEmpty() && two.requests.isEmpty()) {
                 Thread.onSpinWait();
             }
-            clock.advance(PAST_LEASE_US);
+            clock.advance(LONGER_THAN_LEASE_US);
             failed.countDown();
             assertEquals(503, HttpMessages.read(client.getInputStream()).status());
             assertEquals(1, one.requests.size() + two.requests.size());
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void whatAwaitsAConnectionAsTheLeaseEndsIsRefusedAndNotSentOnceItIsUp() throws Exception {
+    void requestThatAwaitsAConnectionAtLeaseExpiryIsRejectedAndNeverSent() throws Exception {
         SteppedClock clock = new SteppedClock();
         try (HangingListener hanging = new HangingListener();
                 ProxyFixture site = ProxyFixture.withHeartbeat()) {
@@ -110,7 +110,7 @@
             Socket client = site.connect();
             ProxyFixture.write(client, HttpMessages.order("t", "50000m"));
             site.awaitCounts(counts -> counts.exchanges() == 1);
-            clock.advance(PAST_LEASE_US);
+            clock.advance(LONGER_THAN_LEASE_US);
             hanging.freeBacklog();
             try (Socket dialed = hanging.accept()) {
                 assertEquals(503, HttpMessages.read(client.getInputStream()).status());
@@ -121,10 +121,10 @@
         }
     }
 
-    /** Takes nothing of the first message until it is told to go on, as with a full buffer. */
+    /** A channel that writes nothing until {@link #resume}, as if the send buffer of its socket were full. */
     private static final class FullChannel extends UpstreamChannel {
         private final CountDownLatch whenFull;
-        private volatile boolean resumed;
+        private volatile boolean isResumed;
 
         FullChannel(CountDownLatch whenFull) {
             this.whenFull = whenFull;
@@ -132,7 +132,7 @@
 
         @Override
         protected void writeToSocket(ChannelOutboundBuffer pending) throws Exception {
-            if (resumed) {
+            if (isResumed) {
                 super.writeToSocket(pending);
             } else {
                 whenFull.countDown();
@@ -140,17 +140,17 @@
         }
 
         void resume() {
-            resumed = true;
+            isResumed = true;
             eventLoop().execute(() -> unsafe().flush());
         }
     }
 
     @Test
-    void aRequestOfWhichNothingHasLeftIsNotSentToAServerThatBeginsToDrain() throws Exception {
+    void unsentRequestIsNotSentToAnEndpointThatBeginsToDrain() throws Exception {
         CountDownLatch full = new CountDownLatch(1);
         FullChannel[] first = new FullChannel[1];
-        try (ScriptedHttpServer drains = ScriptedHttpServer.serving("drains");
-                ScriptedHttpServer stays = ScriptedHttpServer.serving("stays");
+        try (ScriptedHttpServer draining = ScriptedHttpServer.serving("drains");
+                ScriptedHttpServer ready = ScriptedHttpServer.serving("stays");
                 ProxyFixture site = ProxyFixture.withHeartbeat()) {
             site.upstreamChannels = () -> {
                 if (first[0] == null) {
@@ -159,7 +159,7 @@
                 }
                 return new UpstreamChannel();
             };
-            site.start(drains);
+            site.start(draining);
             Socket client = site.connect();
             ProxyFixture.write(client, HttpMessages.order("t", "20000m"));
             full.await();
@@ -167,13 +167,13 @@
                     .write(ProxyFixture.chunk(ProxyFixture.list(
                                     2,
                                     false,
-                                    "s0=" + drains.endpoint() + "=Terminating",
-                                    "s1=" + stays.endpoint() + "=Ready")
+                                    "s0=" + draining.endpoint() + "=Terminating",
+                                    "s1=" + ready.endpoint() + "=Ready")
                             + "\n"));
             assertEquals("stays", HttpMessages.read(client.getInputStream()).body());
             first[0].resume();
-            ScriptedHttpServer.next(drains.ended);
-            assertTrue(drains.requests.isEmpty());
+            ScriptedHttpServer.next(draining.ended);
+            assertTrue(draining.requests.isEmpty());
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/lifecycle/MemoryGrowthTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/MemoryGrowthTest.java
@@ -24,47 +24,50 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** What a node keeps after a long day of servers, clients and requests that are ever new. */
+/**
+ * Guards against memory leaks: a node that serves new endpoints, clients and requests all the time must keep no entry
+ * for those that have gone.
+ */
 class MemoryGrowthTest {
-    private static final int TURNS = 150;
-    /** These hold what the configuration says, for good. */
-    private static final Set<Class<?>> FIXED = Set.of(
+    private static final int ROUNDS = 150;
+    /** Types whose contents come from the configuration and do not grow. */
+    private static final Set<Class<?>> CONFIGURATION_TYPES = Set.of(
             LoadBalancerSettings.class,
             ProxyConfiguration.class,
             ClientRequestParser.class,
             EndpointList.class,
             DiscoveryClient.class);
 
-    /** How much every table holds that can be reached from here through the node's own classes. */
-    private static Map<String, Integer> tables(Object root) throws IllegalAccessException {
+    /** Returns the sizes of all non-empty collections and maps that are reachable through classes of this program. */
+    private static Map<String, Integer> collectionSizes(Object root) throws IllegalAccessException {
         Map<String, Integer> sizes = new TreeMap<>();
-        walk(root, new IdentityHashMap<>(), sizes);
+        addCollectionSizes(root, new IdentityHashMap<>(), sizes);
         sizes.values().removeIf(size -> size == 0);
         return sizes;
     }
 
-    private static void walk(Object at, Map<Object, Object> seen, Map<String, Integer> sizes)
+    private static void addCollectionSizes(Object object, Map<Object, Object> seen, Map<String, Integer> sizes)
             throws IllegalAccessException {
-        if (at == null
-                || !at.getClass().getName().startsWith("loadbalancer.")
-                || FIXED.contains(at.getClass())
-                || seen.put(at, at) != null) {
+        if (object == null
+                || !object.getClass().getName().startsWith("loadbalancer.")
+                || CONFIGURATION_TYPES.contains(object.getClass())
+                || seen.put(object, object) != null) {
             return;
         }
-        for (Field field : at.getClass().getDeclaredFields()) {
+        for (Field field : object.getClass().getDeclaredFields()) {
             if (!Modifier.isStatic(field.getModifiers()) && !field.getType().isPrimitive()) {
                 field.setAccessible(true);
-                Object value = field.get(at);
+                Object value = field.get(object);
                 if (value instanceof Collection<?> || value instanceof Map<?, ?>) {
-                    sizes.merge(at.getClass().getSimpleName() + "." + field.getName(), size(value), Integer::sum);
+                    sizes.merge(object.getClass().getSimpleName() + "." + field.getName(), size(value), Integer::sum);
                 } else {
-                    walk(value, seen, sizes);
+                    addCollectionSizes(value, seen, sizes);
                 }
             }
         }
     }
 
-    /** The elements; of a list of tables, those of all together. */
+    /** Returns the number of elements, including those of nested collections and maps. */
     private static int size(Object table) {
         Collection<?> all = table instanceof Map<?, ?> map ? map.values() : (Collection<?>) table;
         int size = 0;
@@ -76,7 +79,7 @@
 
     @Test
     @Timeout(60)
-    void nothingIsKeptOfServersClientsAndRequestsThatHaveGone() throws Exception {
+    void noEntriesRemainOfEndpointsClientsAndRequestsThatHaveGone() throws Exception {
         String[] statuses = {"200 OK", "500 No", "200 OK", "200 OK", "503 Busy"};
         int[] count = {0};
         try (ScriptedHttpServer server = new ScriptedHttpServer((request, peer) -> {
@@ -88,8 +91,8 @@
             site.startWithCachedList(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"));
             ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(site.discovery.peers);
             Set<Integer> seen = new HashSet<>();
-            for (int i = 1; i <= TURNS; i++) {
-                // The next server comes under a new id to the address of the one that goes.
+            for (int i = 1; i <= ROUNDS; i++) {
+                // Replaces the endpoint by one with a new id and the same address.
                 watch.write(ProxyFixture.chunk(ProxyFixture.list(
                                 i + 1,
                                 false,
@@ -103,13 +106,15 @@
                             .status());
                 }
             }
-            assertTrue(seen.contains(200) && seen.size() > 1, "answers " + seen);
+            assertTrue(
+                    seen.contains(200) && seen.size() > 1,
+                    "both successes and failures are expected, but statuses were " + seen);
             watch.write(ProxyFixture.chunk(
-                    ProxyFixture.list(TURNS + 2, false, "s" + TURNS + "=" + server.endpoint() + "=Gone") + "\n"));
+                    ProxyFixture.list(ROUNDS + 2, false, "s" + ROUNDS + "=" + server.endpoint() + "=Gone") + "\n"));
             Map<String, Integer> left;
             long until = System.nanoTime() + 20_000_000_000L;
             do {
-                left = site.loop.submit(() -> tables(site.node)).get();
+                left = site.loop.submit(() -> collectionSizes(site.node)).get();
             } while (!left.isEmpty() && System.nanoTime() < until);
             assertEquals(Map.of(), left);
         }
--- a/src/test/java/loadbalancer/proxy/lifecycle/ProxyFixture.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ProxyFixture.java
@@ -40,7 +40,7 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** A node on loopback sockets with the servers that its list names and a discovery that a test plays. */
+/** A node on loopback sockets, with scripted endpoints and a scripted discovery. */
 public final class ProxyFixture implements AutoCloseable {
     private static final long TIMEOUT_NS = 20_000_000_000L;
 
@@ -49,9 +49,9 @@
     public final EventLoop loop = ProxyNode.newLoop();
     public int maxDescriptors = 256;
     public long upstreamIdleTimeoutUs = 60_000_000;
-    /** Connections are used again at once, so that tests can count them. */
+    /** Zero, so that connections are reused at once and tests can count them. */
     public long connectionReuseDelayUs = 0;
-    /** The decision module; a test may put a faulty one in its place. */
+    /** Creates the decision module. Tests may replace it by one that fails. */
     public Function<LoadBalancerActions, LoadBalancer> loadBalancers;
 
     public Clock clock = new SystemClock();
@@ -81,13 +81,16 @@
         return new RequestClass(name, 1_000_000, 0, 5_000_000, 1, 0, repeat, group, 1_200_000, false);
     }
 
-    /** A site whose discovery opens each watch with a heartbeat: the list that the node knows holds. */
+    /**
+     * Returns a fixture whose discovery sends a heartbeat on each watch, which grants a lease on the cached endpoint
+     * list.
+     */
     public static ProxyFixture withHeartbeat() throws IOException {
         return new ProxyFixture(
                 new ScriptedHttpServer((request, peer) -> peer.write(watchResponseHead() + chunk("\n"))));
     }
 
-    /** A site whose discovery opens a watch and says nothing on it. */
+    /** Returns a fixture whose discovery accepts each watch and sends nothing on it. */
     public static ProxyFixture withSilentDiscovery() throws IOException {
         return new ProxyFixture(new ScriptedHttpServer((request, peer) -> peer.write(watchResponseHead())));
     }
@@ -100,7 +103,7 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** A list whose entries are id=endpoint=state. */
+    /** Returns an endpoint list in JSON. Entries have the format {@code id=address=state}. */
     public static String list(int rev, boolean all, String... entries) {
         StringBuilder targets = new StringBuilder();
         for (String entry : entries) {
@@ -133,7 +136,7 @@
                 clock, connectionReuseDelayUs, loadBalancers, upstreamChannels, discoveryChannels, listeners);
     }
 
-    /** Starts the node with the servers s0, s1, ... */
+    /** Starts the node with the endpoints s0, s1, ..., and waits for its lease. */
     public ProxyFixture start(ScriptedHttpServer... servers) throws Exception {
         String[] entries = new String[servers.length];
         for (int i = 0; i < servers.length; i++) {
@@ -142,22 +145,22 @@
         return startWithCachedList(list(1, true, entries));
     }
 
-    /** Starts the node with a list that discovery has still to confirm, and waits until it does. */
+    /** Starts the node with a cached endpoint list, and waits for its lease. */
     public ProxyFixture startWithCachedList(String known) throws Exception {
         startWithoutLease(known);
         awaitLease();
         return this;
     }
 
-    /** Waits until the node may send requests by its list. */
+    /** Waits until the node holds a lease on its endpoint list. */
     public void awaitLease() throws Exception {
-        long until = System.nanoTime() + TIMEOUT_NS;
+        long deadlineNs = System.nanoTime() + TIMEOUT_NS;
         while (!loop.submit(node::isLeaseHeld).get()) {
-            assertTrue(System.nanoTime() < until, "nothing vouches for the list");
+            assertTrue(System.nanoTime() < deadlineNs, "no lease on the endpoint list within " + TIMEOUT_NS + " ns");
         }
     }
 
-    /** The same without waiting. */
+    /** Starts the node with a cached endpoint list, and waits for the listener only. */
     public ProxyFixture startWithoutLease(String known) throws Exception {
         node = new ProxyNode(config(known), loop, dependencies());
         address = (InetSocketAddress) node.start().sync().getNow();
@@ -181,17 +184,19 @@
         }
     }
 
-    /** Waits until the node holds just what is wanted. */
-    public void awaitCounts(Predicate<ProxyNodeCounts> wanted) throws Exception {
-        long until = System.nanoTime() + TIMEOUT_NS;
+    /** Waits until the counts of the node meet a condition. */
+    public void awaitCounts(Predicate<ProxyNodeCounts> condition) throws Exception {
+        long deadlineNs = System.nanoTime() + TIMEOUT_NS;
         ProxyNodeCounts counts;
         do {
             counts = loop.submit(node::counts).get();
-            assertTrue(System.nanoTime() < until, "still " + counts);
-        } while (!wanted.test(counts));
+            assertTrue(
+                    System.nanoTime() < deadlineNs,
+                    "condition not met within " + TIMEOUT_NS + " ns; last counts: " + counts);
+        } while (!condition.test(counts));
     }
 
-    /** Closes all clients, then the node, and waits until what each of them held is given back. */
+    /** Closes all clients, then the node, and waits until all requests, connections and descriptors are released. */
     public void assertAllResourcesReleased() throws Exception {
         closeClients();
         awaitCounts(counts -> counts.requests() == 0 && counts.exchanges() == 0 && counts.clients() == 0);
@@ -199,7 +204,7 @@
         awaitCounts(counts -> counts.descriptors() == 0);
     }
 
-    /** Waits until no connection is taken: the system closes the listener a moment after the loop has. */
+    /** Waits until connections are refused. The kernel closes the listener shortly after the event loop has. */
     public void awaitConnectionsRefused() {
         assertTimeoutPreemptively(
                 Duration.ofSeconds(20),
@@ -211,6 +216,7 @@
                 }));
     }
 
+    /** Sends a request on a connection, and returns the response. */
     public static HttpMessages.Message ask(Socket client, String request) throws IOException {
         write(client, request);
         return HttpMessages.read(client.getInputStream());
@@ -220,12 +226,12 @@
         client.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** One request on a connection of its own. */
+    /** Sends a request on a new connection, and returns the response. */
     public HttpMessages.Message ask(String request) throws IOException {
         return ask(connect(), request);
     }
 
-    /** Returns once the node has read what came before: a later request has its answer. */
+    /** Waits until the node has read all earlier input, by sending another request and reading its response. */
     public void awaitPriorInputRead() throws IOException {
         assertEquals(404, ask(HttpMessages.page("/nothing", "later", "1m")).status());
     }
--- a/src/test/java/loadbalancer/proxy/lifecycle/ProxyNodeTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ProxyNodeTest.java
@@ -40,20 +40,20 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** A node as a whole. */
+/** Start, configuration reload and shutdown of a node, and defects in its decision module. */
 class ProxyNodeTest {
 
-    /** A module that breaks the first time that it is told of this event. */
-    private static LoadBalancer breaking(LoadBalancer sound, String event, Throwable defect) {
-        boolean[] broken = {false};
+    /** Returns a decision module that throws when it is first notified of the event. */
+    private static LoadBalancer failingOnce(LoadBalancer delegate, String event, Throwable defect) {
+        boolean[] hasFailed = {false};
         return (LoadBalancer) Proxy.newProxyInstance(
                 LoadBalancer.class.getClassLoader(), new Class<?>[] {LoadBalancer.class}, (proxy, method, args) -> {
-                    if (method.getName().equals(event) && !broken[0]) {
-                        broken[0] = true;
+                    if (method.getName().equals(event) && !hasFailed[0]) {
+                        hasFailed[0] = true;
                         throw defect;
                     }
                     try {
-                        return method.invoke(sound, args);
+                        return method.invoke(delegate, args);
                     } catch (InvocationTargetException e) {
                         throw e.getCause();
                     }
@@ -62,23 +62,23 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"onRequest", "onAttemptOutcome"})
-    void anExceptionCostsOneRequestAndStillAnswersIt(String event) throws Exception {
-        costsOneRequest(event, new IllegalStateException("broken for the test"));
+    void exceptionInTheModuleFailsOnlyOneRequest(String event) throws Exception {
+        assertOnlyOneRequestFails(event, new IllegalStateException("broken for the test"));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"onRequest", "onAttemptOutcome"})
-    void anErrorCostsOneRequestAndStillAnswersIt(String event) throws Exception {
-        costsOneRequest(event, new OutOfMemoryError("for the test"));
+    void errorInTheModuleFailsOnlyOneRequest(String event) throws Exception {
+        assertOnlyOneRequestFails(event, new OutOfMemoryError("for the test"));
     }
 
-    private static void costsOneRequest(String event, Throwable defect) throws Exception {
-        // Neither answer is a success, so that the node owes the client its own.
+    private static void assertOnlyOneRequestFails(String event, Throwable defect) throws Exception {
+        // The endpoint only fails, so that the node itself must respond to the client.
         try (ScriptedHttpServer server =
                         new ScriptedHttpServer((request, peer) -> peer.write(HttpMessages.answer("500 No", "", "")));
                 ProxyFixture site = ProxyFixture.withHeartbeat()) {
             site.loadBalancers =
-                    actions -> breaking(new ServiceQLoadBalancer(site.settings, 7, actions), event, defect);
+                    actions -> failingOnce(new ServiceQLoadBalancer(site.settings, 7, actions), event, defect);
             site.start(server);
             assertEquals(500, site.ask(HttpMessages.order("first", "4000m")).status());
             assertEquals(502, site.ask(HttpMessages.order("second", "4000m")).status());
@@ -101,13 +101,13 @@
         return Files.move(next, folder.resolve("config.json"), StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** A node as a process, which is told of discovery by the environment as well. */
-    private static Process program(Path config, String discovery) throws Exception {
-        return program(config, discovery, List.of());
+    /** Starts a node as a process, with the address of discovery in the environment too. */
+    private static Process startProcess(Path config, String discovery) throws Exception {
+        return startProcess(config, discovery, List.of());
     }
 
-    /** The same, started by the command that stands before it. */
-    private static Process program(Path config, String discovery, List<String> starter) throws Exception {
+    /** Starts a node as a process by another command, to which the command line of the node is appended. */
+    private static Process startProcess(Path config, String discovery, List<String> starter) throws Exception {
         List<String> command = new ArrayList<>(starter);
         command.addAll(List.of(
                 ProcessHandle.current().info().command().orElseThrow(),
@@ -132,33 +132,36 @@
                         read.add(line);
                         line = lines.readLine();
                     }
-                    assertNotNull(line, () -> "no line says " + part + " but " + read);
+                    assertNotNull(line, () -> "no line contains \"" + part + "\", output: " + read);
                 },
-                () -> "no line says " + part + " but " + read);
+                () -> "no line contains \"" + part + "\", output: " + read);
     }
 
-    private static void hangUp(Process process) throws Exception {
+    private static void sendHangUp(Process process) throws Exception {
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
     }
 
-    /** What {@code run} of the deploy file does before it becomes the JVM, where SIGHUP is ignored. */
-    private static List<String> runWhereHangUpIsIgnored() throws Exception {
+    /**
+     * Returns a command that ignores SIGHUP and then does what {@code run} of the deploy file does before it starts
+     * Java.
+     */
+    private static List<String> commandIgnoringHangUp() throws Exception {
         String run = DeployFile.run();
         String beforeJava = run.substring(0, run.indexOf("java "));
         return List.of("/bin/sh", "-c", "trap '' HUP; " + beforeJava + "\"$0\" \"$@\"");
     }
 
     @Test
-    void sighupIsHeardAlsoWhereTheNodeWasStartedWithItIgnored(@TempDir Path folder) throws Exception {
+    void sighupIsHandledIfTheParentProcessIgnoresIt(@TempDir Path folder) throws Exception {
         ScriptedHttpServer.Script watch = (request, peer) -> peer.write(ProxyFixture.watchResponseHead());
         try (ScriptedHttpServer before = new ScriptedHttpServer(watch);
                 ScriptedHttpServer after = new ScriptedHttpServer(watch)) {
             Path config = configure(folder, before.endpoint());
-            Process process = program(config, before.endpoint(), runWhereHangUpIsIgnored());
+            Process process = startProcess(config, before.endpoint(), commandIgnoringHangUp());
             try {
                 ScriptedHttpServer.next(before.requests);
                 configure(folder, after.endpoint());
-                hangUp(process);
+                sendHangUp(process);
                 ScriptedHttpServer.next(after.requests);
             } finally {
                 process.destroyForcibly();
@@ -168,8 +171,8 @@
 
     @Test
     @Timeout(60)
-    void aNodeWhoseDescriptorsRanOutFindsDiscoveryAndServersOnceThereAreSome(@TempDir Path folder) throws Exception {
-        AtomicBoolean up = new AtomicBoolean();
+    void nodeRecoversAfterRunningOutOfDescriptors(@TempDir Path folder) throws Exception {
+        AtomicBoolean isDiscoveryUp = new AtomicBoolean();
         List<Socket> clients = new ArrayList<>();
         String listen;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -177,26 +180,26 @@
         }
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
                 ScriptedHttpServer discovery = new ScriptedHttpServer((request, peer) -> peer.write(
-                        !up.get()
+                        !isDiscoveryUp.get()
                                 ? HttpMessages.answer("503 Down", "", "")
                                 : ProxyFixture.watchResponseHead()
                                         + ProxyFixture.chunk(
                                                 ProxyFixture.list(2, true, "s0=" + server.endpoint() + "=Ready")
                                                         + "\n")))) {
-            // Fewer than it has been told of: else it would not let clients have them all.
+            // The process has fewer descriptors than configured; otherwise the node would reserve some of them.
             Path config = configure(
                     folder,
                     listen,
                     discovery.endpoint(),
                     ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"));
-            Process process =
-                    program(config, discovery.endpoint(), List.of("/bin/sh", "-c", "ulimit -n 80; exec \"$0\" \"$@\""));
+            Process process = startProcess(
+                    config, discovery.endpoint(), List.of("/bin/sh", "-c", "ulimit -n 80; exec \"$0\" \"$@\""));
             try {
                 BufferedReader lines = process.inputReader();
                 awaitLine(lines, "listening on ");
                 InetSocketAddress address = ProxyConfiguration.parseAddress("listen", listen);
                 Socket early = new Socket(address.getAddress(), address.getPort());
-                // Discovery answers nobody: the node is not ready at once, but in the end.
+                // Discovery rejects all calls, so the node becomes ready only after a timeout.
                 while (ProxyFixture.ask(early, HttpMessages.UP).status() != 200) {
                     Thread.onSpinWait();
                 }
@@ -205,7 +208,7 @@
                 }
                 awaitLine(lines, "Too many open files");
                 awaitLine(lines, "reason=\"connect failed: Failed to open a socket");
-                // More than there are descriptors for: each is answered, and none is counted for good.
+                // More requests than there are descriptors: each gets a response, and none may leak a descriptor.
                 for (int i = 0; i < 200; i++) {
                     ProxyFixture.ask(early, HttpMessages.page("/api/p", "t" + i, "500m"));
                 }
@@ -213,7 +216,7 @@
                 for (Socket client : clients) {
                     client.close();
                 }
-                up.set(true);
+                isDiscoveryUp.set(true);
                 HttpMessages.Message answer;
                 do {
                     try (Socket client = new Socket(address.getAddress(), address.getPort())) {
@@ -227,43 +230,46 @@
     }
 
     @Test
-    void theProgramEndsOnSigtermOnceNothingIsHeld(@TempDir Path folder) throws Exception {
-        Process process = program(configure(folder, "127.0.0.1:9"), "127.0.0.1:9");
+    void processExitsOnSigtermWhenNoConnectionIsOpen(@TempDir Path folder) throws Exception {
+        Process process = startProcess(configure(folder, "127.0.0.1:9"), "127.0.0.1:9");
         try {
             awaitLine(process.inputReader(), "listening on ");
             process.destroy();
             assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-            assertEquals(143, process.exitValue(), "ended by SIGTERM in good order");
+            assertEquals(143, process.exitValue(), "exit code after a graceful shutdown by SIGTERM");
         } finally {
             process.destroyForcibly();
         }
     }
 
     @Test
-    void onSighupTheWatchMovesToWhereTheFileSaysAndABadFileChangesNothing(@TempDir Path folder) throws Exception {
+    void sighupMovesTheWatchAndIgnoresAnInvalidFile(@TempDir Path folder) throws Exception {
         ScriptedHttpServer.Script watch = (request, peer) -> peer.write(ProxyFixture.watchResponseHead());
         try (ScriptedHttpServer before = new ScriptedHttpServer(watch);
                 ScriptedHttpServer after = new ScriptedHttpServer(watch)) {
             Path config = configure(folder, before.endpoint());
-            Process process = program(config, before.endpoint());
+            Process process = startProcess(config, before.endpoint());
             try {
                 BufferedReader lines = process.inputReader();
                 ScriptedHttpServer.next(before.requests);
                 configure(folder, after.endpoint());
-                hangUp(process);
+                sendHangUp(process);
                 ScriptedHttpServer.next(after.requests);
                 ScriptedHttpServer.next(before.ended);
                 Files.writeString(config, "{");
-                hangUp(process);
+                sendHangUp(process);
                 awaitLine(lines, "PROXY_CONFIG is not JSON");
                 configure(folder, before.endpoint());
-                hangUp(process);
-                hangUp(process);
+                sendHangUp(process);
+                sendHangUp(process);
                 ScriptedHttpServer.next(before.requests);
                 process.destroy();
-                hangUp(process);
+                sendHangUp(process);
                 assertTrue(process.waitFor(20, TimeUnit.SECONDS));
-                assertEquals(143, process.exitValue(), "still ended by SIGTERM in good order");
+                assertEquals(
+                        143,
+                        process.exitValue(),
+                        "exit code after a graceful shutdown by SIGTERM, with SIGHUP during the shutdown");
                 assertEquals(1, after.connections.get());
             } finally {
                 process.destroyForcibly();
@@ -273,17 +279,17 @@
 
     @Test
     @Timeout(60)
-    void aFileThatIsHalfWrittenAtSighupIsReadAgainWithoutAnotherSignal(@TempDir Path folder) throws Exception {
+    void partlyWrittenFileIsReadAgainWithoutAnotherSignal(@TempDir Path folder) throws Exception {
         ScriptedHttpServer.Script watch = (request, peer) -> peer.write(ProxyFixture.watchResponseHead());
         try (ScriptedHttpServer before = new ScriptedHttpServer(watch);
                 ScriptedHttpServer after = new ScriptedHttpServer(watch)) {
             Path config = configure(folder, before.endpoint());
-            Process process = program(config, before.endpoint());
+            Process process = startProcess(config, before.endpoint());
             try {
                 BufferedReader lines = process.inputReader();
                 ScriptedHttpServer.next(before.requests);
                 Files.writeString(config, "{\"listen\":");
-                hangUp(process);
+                sendHangUp(process);
                 awaitLine(lines, "PROXY_CONFIG is not JSON");
                 configure(folder, after.endpoint());
                 ScriptedHttpServer.next(after.requests);
@@ -295,7 +301,7 @@
 
     @Test
     @Timeout(60)
-    void aListenerForWhichThereIsNoDescriptorAtFirstIsOpenedOnceThereIsOne() throws Exception {
+    void listenerIsOpenedOnceADescriptorIsFree() throws Exception {
         AtomicInteger attempts = new AtomicInteger();
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
                 ProxyFixture site = ProxyFixture.withHeartbeat()) {
--- a/src/test/java/loadbalancer/proxy/lifecycle/ShutdownScheduleTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ShutdownScheduleTest.java
@@ -13,17 +13,17 @@
 import loadbalancer.policy.RequestClass;
 import loadbalancer.proxy.resources.ConnectionLimits;
 
-/** Until when a node that ends goes on. */
+/** The times of a graceful shutdown: how long requests are accepted, and when the last responses are due. */
 class ShutdownScheduleTest {
 
-    private static ShutdownSchedule schedule(long aimUs, long deadlineUs) {
+    private static ShutdownSchedule schedule(long latencyObjectiveUs, long deadlineUs) {
         LoadBalancerSettings settings = new LoadBalancerSettings();
-        for (long part = 1; part <= 2; part++) {
+        for (long divisor = 1; divisor <= 2; divisor++) {
             settings.classes.add(new RequestClass(
-                    "c" + part,
-                    aimUs / part,
+                    "c" + divisor,
+                    latencyObjectiveUs / divisor,
                     0,
-                    deadlineUs / part,
+                    deadlineUs / divisor,
                     1,
                     0,
                     Idempotency.IDEMPOTENT,
@@ -36,20 +36,20 @@
 
     @ParameterizedTest
     @ValueSource(longs = {100_000, 1_000_000, 2_500_000, 3_000_000, 30_000_000})
-    void allIsAnsweredBeforeTheNodeIsKilledAndWhatComesLastHasItsAim(long deadlineUs) {
-        long aimUs = 380_000;
-        ShutdownSchedule schedule = schedule(aimUs, deadlineUs);
-        long killedUs = Math.min(3_000_000, deadlineUs) + 700_000;
-        assertTrue(schedule.responseDeadlineUs() < killedUs);
+    void allResponsesPrecedeTheKillAndTheLastRequestKeepsItsLatencyObjective(long deadlineUs) {
+        long latencyObjectiveUs = 380_000;
+        ShutdownSchedule schedule = schedule(latencyObjectiveUs, deadlineUs);
+        long killedAfterUs = Math.min(3_000_000, deadlineUs) + 700_000;
+        assertTrue(schedule.responseDeadlineUs() < killedAfterUs);
         assertTrue(schedule.servingTimeUs() <= schedule.responseDeadlineUs());
         assertTrue(schedule.servingTimeUs() >= ConnectionLimits.ACCEPT_AFTER_SHUTDOWN_MS * 1_000);
         if (deadlineUs >= 1_000_000) {
-            assertEquals(schedule.responseDeadlineUs() - aimUs, schedule.servingTimeUs());
+            assertEquals(schedule.responseDeadlineUs() - latencyObjectiveUs, schedule.servingTimeUs());
         }
     }
 
     @Test
-    void anAimThatIsLongerThanTheGraceLeavesTheTimeInWhichConnectionsArrive() {
+    void requestsAreAcceptedWhileConnectionsArriveEvenIfTheLatencyObjectiveExceedsTheShutdownTime() {
         assertEquals(
                 ConnectionLimits.ACCEPT_AFTER_SHUTDOWN_MS * 1_000,
                 schedule(20_000_000, 30_000_000).servingTimeUs());
--- a/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
@@ -18,11 +18,11 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** What a starting process does before it listens. */
+/** The start-up warm-up, and that its node leaves nothing open. */
 class StartupWarmUpTest {
 
     @Test
-    void requestsAreServedWithNoWordToDiscovery() throws Exception {
+    void requestsAreServedWithoutConnectingToDiscovery() throws Exception {
         try (ProxyFixture site = ProxyFixture.withHeartbeat()) {
             // In a warm JVM the requests follow so fast that connections awaiting reuse take all of 256 descriptors.
             site.maxDescriptors = 1_024;
@@ -32,28 +32,31 @@
     }
 
     @Test
-    void littleCpuDoesNotEndItBeforeItIsWarm() throws Exception {
+    void warmUpIsCompletedWithLittleCpu() throws Exception {
         try (ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            // As on a part of a core: every turn of the loop takes some time more.
-            AtomicBoolean over = new AtomicBoolean();
+            // Simulates a fraction of a core: each iteration of the event loop takes 3 ms longer.
+            AtomicBoolean isOver = new AtomicBoolean();
             site.loop.execute(new Runnable() {
                 @Override
                 public void run() {
                     LockSupport.parkNanos(3_000_000);
-                    if (!over.get()) {
+                    if (!isOver.get()) {
                         site.loop.schedule(this, 1, TimeUnit.NANOSECONDS);
                     }
                 }
             });
             long served = StartupWarmUp.run(site.config(ProxyFixture.list(1, true)), site.loop);
-            over.set(true);
+            isOver.set(true);
             assertEquals(StartupWarmUp.MAX_REQUESTS, served);
         }
     }
 
-    /** A start took all nodes that were killed together 2.5 s, half of it for code that few requests use. */
+    /**
+     * Guards against a full warm-up in large fleets: nodes that were killed together took 2.5 s to start, half of it to
+     * warm up code that few requests use.
+     */
     @Test
-    void aNodeOfManyRehearsesForTheFewRequestsThatComeToIt() throws Exception {
+    void nodeOfALargeFleetServesFewerWarmUpRequests() throws Exception {
         try (ProxyFixture site = ProxyFixture.withHeartbeat()) {
             site.settings.tenants.set(0, new Tenant("org", 1_400));
             site.settings.instances = 4;
@@ -64,7 +67,7 @@
     }
 
     @Test
-    void aResetOfItsOwnConnectionsEndsThemAndNothingMore() {
+    void resetOfAWarmUpConnectionOnlyClosesIt() {
         EmbeddedChannel channel = new EmbeddedChannel(new StartupWarmUp.CloseOnExceptionHandler());
         channel.pipeline().fireExceptionCaught(new IOException("Connection reset"));
         channel.checkException();
@@ -72,7 +75,7 @@
     }
 
     @Test
-    void aNodeThatIsClosedLeavesNothingOpen() throws Exception {
+    void closedNodeLeavesNoConnectionOrListenerOpen() throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
                 ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
             Socket client = site.connect();
