--- a/src/test/java/loadbalancer/proxy/upstream/FailingSystemCallTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/FailingSystemCallTest.java
@@ -24,12 +24,15 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** System calls that fail for a moment, as Linux documents: what has not run goes on, and nothing is counted for good. */
+/**
+ * Tests temporary failures of system calls, with errors that Linux documents. A request that was not executed has to be
+ * retried, and a failed call must not leave a connection, request or descriptor counted as open.
+ */
 @Timeout(60)
 class FailingSystemCallTest {
-    private static final int FAILURES = 2;
+    private static final int FAILURE_COUNT = 2;
 
-    /** The call that fails, and with what. */
+    /** The failing system call and its error. */
     private enum SystemCall {
         SOCKET(new SocketException("Too many open files in system")),
         REGISTER(new SocketException("Cannot allocate memory")),
@@ -47,20 +50,20 @@
             this.error = error;
         }
 
-        boolean isOfRead() {
+        boolean failsOnRead() {
             return this == READ_TIMED_OUT || this == READ_NO_ROUTE;
         }
 
-        boolean isOfConnect() {
+        boolean failsOnConnect() {
             return name().startsWith("CONNECT");
         }
     }
 
-    /** A connection to a server on which one call fails. */
-    private static final class FailingServerChannel extends UpstreamChannel {
+    /** A channel to an endpoint on which one system call fails. */
+    private static final class FailingUpstreamChannel extends UpstreamChannel {
         private final SystemCall call;
 
-        FailingServerChannel(SystemCall call) {
+        FailingUpstreamChannel(SystemCall call) {
             this.call = call;
         }
 
@@ -75,7 +78,7 @@
 
         @Override
         protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
-            if (call.isOfConnect()) {
+            if (call.failsOnConnect()) {
                 throw call.error;
             }
             return super.doConnect(remote, local);
@@ -91,14 +94,14 @@
 
         @Override
         protected int doReadBytes(ByteBuf buffer) throws Exception {
-            if (call.isOfRead()) {
+            if (call.failsOnRead()) {
                 throw call.error;
             }
             return super.doReadBytes(buffer);
         }
     }
 
-    /** The same for a connection to discovery. */
+    /** A channel to discovery on which one system call fails. */
     private static final class FailingDiscoveryChannel extends NioSocketChannel {
         private final SystemCall call;
 
@@ -117,7 +120,7 @@
 
         @Override
         protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
-            if (call.isOfConnect()) {
+            if (call.failsOnConnect()) {
                 throw call.error;
             }
             return super.doConnect(remote, local);
@@ -133,64 +136,64 @@
 
         @Override
         protected int doReadBytes(ByteBuf buffer) throws Exception {
-            if (call.isOfRead()) {
+            if (call.failsOnRead()) {
                 throw call.error;
             }
             return super.doReadBytes(buffer);
         }
     }
 
-    private static UpstreamChannel serverChannel(SystemCall call, AtomicInteger failures) {
-        if (failures.getAndDecrement() <= 0) {
+    private static UpstreamChannel newUpstreamChannel(SystemCall call, AtomicInteger remainingFailures) {
+        if (remainingFailures.getAndDecrement() <= 0) {
             return new UpstreamChannel();
         }
         if (call == SystemCall.SOCKET) {
             throw new ChannelException(call.error);
         }
-        return new FailingServerChannel(call);
+        return new FailingUpstreamChannel(call);
     }
 
     @ParameterizedTest
     @EnumSource(SystemCall.class)
-    void anOrderIsServedIfItSurelyNeverRanAndFailsIfItMayHave(SystemCall call) throws Exception {
-        AtomicInteger failures = new AtomicInteger(FAILURES);
+    void orderIsServedUnlessItMayHaveBeenExecuted(SystemCall call) throws Exception {
+        AtomicInteger remainingFailures = new AtomicInteger(FAILURE_COUNT);
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.upstreamChannels = () -> serverChannel(call, failures);
-            site.start(server);
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat()) {
+            proxyFixture.upstreamChannels = () -> newUpstreamChannel(call, remainingFailures);
+            proxyFixture.start(server);
             assertEquals(
-                    call.isOfRead() ? 502 : 200,
-                    site.ask(HttpMessages.order("t", "20000m")).status());
+                    call.failsOnRead() ? 502 : 200,
+                    proxyFixture.ask(HttpMessages.order("t", "20000m")).status());
             assertEquals(1, server.requests.size());
-            site.assertAllResourcesReleased();
+            proxyFixture.assertAllResourcesReleased();
         }
     }
 
     @ParameterizedTest
     @EnumSource(SystemCall.class)
-    void aPageIsServedWhateverFailsForAMoment(SystemCall call) throws Exception {
-        AtomicInteger failures = new AtomicInteger(FAILURES);
+    void pageIsServedDespiteTemporaryFailures(SystemCall call) throws Exception {
+        AtomicInteger remainingFailures = new AtomicInteger(FAILURE_COUNT);
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.upstreamChannels = () -> serverChannel(call, failures);
-            site.start(server);
-            assertEquals(200, site.ask(HttpMessages.page("t")).status());
-            site.assertAllResourcesReleased();
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat()) {
+            proxyFixture.upstreamChannels = () -> newUpstreamChannel(call, remainingFailures);
+            proxyFixture.start(server);
+            assertEquals(200, proxyFixture.ask(HttpMessages.page("t")).status());
+            proxyFixture.assertAllResourcesReleased();
         }
     }
 
     @ParameterizedTest
     @EnumSource(SystemCall.class)
-    void discoveryIsCalledAgainAndItsListUsed(SystemCall call) throws Exception {
-        AtomicInteger failures = new AtomicInteger(FAILURES);
+    void discoveryIsCalledAgainAfterTemporaryFailures(SystemCall call) throws Exception {
+        AtomicInteger remainingFailures = new AtomicInteger(FAILURE_COUNT);
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
                 ScriptedHttpServer discovery =
                         new ScriptedHttpServer((request, peer) -> peer.write(ProxyFixture.watchResponseHead()
                                 + ProxyFixture.chunk(
                                         ProxyFixture.list(2, true, "s0=" + server.endpoint() + "=Ready") + "\n")));
-                ProxyFixture site = new ProxyFixture(discovery)) {
-            site.discoveryChannels = () -> {
-                if (failures.getAndDecrement() <= 0) {
+                ProxyFixture proxyFixture = new ProxyFixture(discovery)) {
+            proxyFixture.discoveryChannels = () -> {
+                if (remainingFailures.getAndDecrement() <= 0) {
                     return new NioSocketChannel();
                 }
                 if (call == SystemCall.SOCKET) {
@@ -198,9 +201,9 @@
                 }
                 return new FailingDiscoveryChannel(call);
             };
-            site.startWithCachedList(ProxyFixture.list(1, true));
-            assertEquals(200, site.ask(HttpMessages.page("t")).status());
-            site.assertAllResourcesReleased();
+            proxyFixture.startWithCachedList(ProxyFixture.list(1, true));
+            assertEquals(200, proxyFixture.ask(HttpMessages.page("t")).status());
+            proxyFixture.assertAllResourcesReleased();
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/upstream/StallingChannel.java
+++ b/src/test/java/loadbalancer/proxy/upstream/StallingChannel.java
@@ -5,20 +5,24 @@
 
 import io.netty.channel.ChannelOutboundBuffer;
 
-/** A connection to a server that takes the first bytes of a request and then no more, as with a full buffer. */
+/** An upstream channel that writes only the first bytes of a request until it is resumed, as with a full send buffer. */
 public final class StallingChannel extends UpstreamChannel {
-    private static final int BYTES_TAKEN = 20;
+    private static final int MAX_FIRST_WRITE_BYTES = 20;
 
-    private final CountDownLatch whenStalled;
+    private final CountDownLatch stalledLatch;
     private volatile boolean resumed;
     private boolean stalled;
 
-    /** The latch is counted down with a request that is written in part. */
-    public StallingChannel(CountDownLatch whenStalled) {
-        this.whenStalled = whenStalled;
+    /**
+     * Creates a channel.
+     *
+     * @param stalledLatch counted down when the first bytes of a request are written
+     */
+    public StallingChannel(CountDownLatch stalledLatch) {
+        this.stalledLatch = stalledLatch;
     }
 
-    /** Goes on with what was left. */
+    /** Writes the remaining bytes of the request. Can be called on any thread. */
     public void resume() {
         resumed = true;
         eventLoop().execute(() -> {
@@ -32,10 +36,10 @@
     protected void writeToSocket(ChannelOutboundBuffer pending) throws Exception {
         if (!stalled) {
             stalled = true;
-            ByteBuffer part = pending.nioBuffers(1, BYTES_TAKEN)[0].duplicate();
-            part.limit(part.position() + Math.min(BYTES_TAKEN, part.remaining()));
-            pending.removeBytes(javaChannel().write(part));
-            whenStalled.countDown();
+            ByteBuffer firstBytes = pending.nioBuffers(1, MAX_FIRST_WRITE_BYTES)[0].duplicate();
+            firstBytes.limit(firstBytes.position() + Math.min(MAX_FIRST_WRITE_BYTES, firstBytes.remaining()));
+            pending.removeBytes(javaChannel().write(firstBytes));
+            stalledLatch.countDown();
         } else if (resumed) {
             super.writeToSocket(pending);
         }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
@@ -43,38 +43,42 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** How attempts end, seen from outside: an order may go on to another server only if it never ran. */
+/**
+ * Tests the results of attempts and the reuse of connections. An order is not idempotent, so it may be retried only if it
+ * was certainly not executed.
+ */
 class UpstreamConnectionPoolTest {
-    private static final int ASKED = 12;
+    private static final int REQUEST_COUNT = 12;
 
-    /** Asks for a number of orders, of which about half meet the first server; all must be served. */
-    private static void allServed(ProxyFixture site) throws IOException {
-        for (int i = 0; i < ASKED; i++) {
-            assertEquals(200, site.ask(HttpMessages.order("t" + i, "4000m")).status());
+    /** Sends orders, about half of which are first sent to the first endpoint, and asserts that all are served. */
+    private static void assertAllServed(ProxyFixture proxyFixture) throws IOException {
+        for (int i = 0; i < REQUEST_COUNT; i++) {
+            assertEquals(
+                    200, proxyFixture.ask(HttpMessages.order("t" + i, "4000m")).status());
         }
     }
 
     @Test
-    void aRefusedConnectionNeverRan() throws Exception {
-        try (ScriptedHttpServer dead = ScriptedHttpServer.serving("x");
-                ScriptedHttpServer good = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            dead.stop();
-            site.start(dead, good);
-            allServed(site);
-            assertEquals(ASKED, good.requests.size());
+    void orderIsRetriedAfterARefusedConnection() throws Exception {
+        try (ScriptedHttpServer stoppedServer = ScriptedHttpServer.serving("x");
+                ScriptedHttpServer healthyServer = ScriptedHttpServer.serving("x");
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat()) {
+            stoppedServer.stop();
+            proxyFixture.start(stoppedServer, healthyServer);
+            assertAllServed(proxyFixture);
+            assertEquals(REQUEST_COUNT, healthyServer.requests.size());
         }
     }
 
     @Test
-    void aRequestTurnedAwayNeverRan() throws Exception {
-        try (ScriptedHttpServer full = new ScriptedHttpServer(
+    void orderIsRetriedAfterARejection() throws Exception {
+        try (ScriptedHttpServer rejectingServer = new ScriptedHttpServer(
                         (request, peer) -> peer.write(HttpMessages.answer("504 Over", "X-Turned-Away: 1\r\n", "")));
-                ScriptedHttpServer good = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(full, good)) {
-            allServed(site);
-            assertEquals(ASKED, good.requests.size());
-            assertTrue(full.requests.size() > 0);
+                ScriptedHttpServer healthyServer = ScriptedHttpServer.serving("x");
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(rejectingServer, healthyServer)) {
+            assertAllServed(proxyFixture);
+            assertEquals(REQUEST_COUNT, healthyServer.requests.size());
+            assertTrue(rejectingServer.requests.size() > 0);
         }
     }
 
@@ -95,94 +99,100 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 3\r\n\r\nxyz",
                 "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n" + "1\r\nx\r\n0\r\n\r\n",
             })
-    void aBadAnswerMayHaveRunAndIsNeverServed(String answer) throws Exception {
-        try (ScriptedHttpServer bad = new ScriptedHttpServer((request, peer) -> {
-                    peer.write(answer);
+    void orderFailsWithoutRetryAfterAnInvalidResponse(String response) throws Exception {
+        try (ScriptedHttpServer failingServer = new ScriptedHttpServer((request, peer) -> {
+                    peer.write(response);
                     peer.socket().close();
                 });
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(bad)) {
-            assertEquals(502, site.ask(HttpMessages.order("t", "4000m")).status());
-            assertEquals(1, bad.requests.size(), "an order is sent once");
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(failingServer)) {
+            assertEquals(502, proxyFixture.ask(HttpMessages.order("t", "4000m")).status());
+            assertEquals(1, failingServer.requests.size(), "the order must not be sent again");
         }
     }
 
     @Test
-    void aRepeatableRequestPassesOnAfterAReset() throws Exception {
-        try (ScriptedHttpServer bad = new ScriptedHttpServer((request, peer) -> peer.reset());
-                ScriptedHttpServer good = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(bad, good)) {
-            for (int i = 0; i < ASKED; i++) {
+    void safeRequestIsRetriedAfterAReset() throws Exception {
+        try (ScriptedHttpServer failingServer = new ScriptedHttpServer((request, peer) -> peer.reset());
+                ScriptedHttpServer healthyServer = ScriptedHttpServer.serving("x");
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(failingServer, healthyServer)) {
+            for (int i = 0; i < REQUEST_COUNT; i++) {
                 assertEquals(
                         200,
-                        site.ask(HttpMessages.page("/api/p", "t" + i, "4000m")).status());
+                        proxyFixture
+                                .ask(HttpMessages.page("/api/p", "t" + i, "4000m"))
+                                .status());
             }
-            assertTrue(bad.requests.size() > 0);
+            assertTrue(failingServer.requests.size() > 0);
         }
     }
 
     @Test
-    void anAnswerPastAllBoundsIsGivenUpAtOnce() throws Exception {
-        try (ScriptedHttpServer bad = new ScriptedHttpServer(
+    void requestFailsAtOnceIfTheContentLengthExceedsTheLimit() throws Exception {
+        try (ScriptedHttpServer failingServer = new ScriptedHttpServer(
                         (request, peer) -> peer.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"));
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(bad)) {
-            assertEquals(502, site.ask(HttpMessages.order("t", "3600000m")).status());
-            ScriptedHttpServer.next(bad.ended);
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(failingServer)) {
+            assertEquals(
+                    502, proxyFixture.ask(HttpMessages.order("t", "3600000m")).status());
+            ScriptedHttpServer.next(failingServer.ended);
         }
     }
 
     @Test
-    void anAnswerLargerThanRequestsMayBePassesOnWhole() throws Exception {
+    void responseLargerThanTheRequestLimitIsForwardedCompletely() throws Exception {
         String large = "photo".repeat(70_000);
         try (ScriptedHttpServer server = ScriptedHttpServer.serving(large);
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
-            assertEquals(large, site.ask(HttpMessages.order("t", "4000m")).body());
-            assertEquals(large, site.ask(HttpMessages.order("u", "4000m")).body());
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(server)) {
+            assertEquals(
+                    large, proxyFixture.ask(HttpMessages.order("t", "4000m")).body());
+            assertEquals(
+                    large, proxyFixture.ask(HttpMessages.order("u", "4000m")).body());
             assertEquals(1, server.connections.get());
         }
     }
 
     @Test
-    void anUnreadableLoadReportSpoilsNoAnswer() throws Exception {
+    void responseIsForwardedDespiteAMalformedLoadReport() throws Exception {
         try (ScriptedHttpServer server = new ScriptedHttpServer((request, peer) ->
                         peer.write(HttpMessages.answer("200 OK", "X-Pressure: TEXT %%=;{\"\r\n", "good")));
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
-            assertEquals("good", site.ask(HttpMessages.order("t", "4000m")).body());
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(server)) {
+            assertEquals(
+                    "good", proxyFixture.ask(HttpMessages.order("t", "4000m")).body());
         }
     }
 
     @Test
     @Timeout(20)
-    void aConnectionOnWhichSomethingWaitsUnreadIsNotQuiet() throws Exception {
+    void hasNoUnreadInputIsFalseAfterInputOrTheEndOfTheConnection() throws Exception {
         EventLoop loop = ProxyNode.newLoop();
-        try (ServerSocket far = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            // Nothing is read by itself, as when the loop has not come to it yet.
+        try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            // Without automatic reads the input stays unread, as if the event loop has not processed it yet.
             UpstreamChannel channel = (UpstreamChannel) new Bootstrap()
                     .group(loop)
                     .channelFactory(UpstreamChannel::new)
                     .option(ChannelOption.AUTO_READ, false)
                     .handler(new ChannelInboundHandlerAdapter())
-                    .connect(far.getLocalSocketAddress())
+                    .connect(listener.getLocalSocketAddress())
                     .sync()
                     .channel();
-            Socket server = far.accept();
+            Socket server = listener.accept();
             assertTrue(channel.hasNoUnreadInput());
             server.getOutputStream().write('x');
             while (channel.hasNoUnreadInput()) {
                 Thread.onSpinWait();
             }
-            assertTrue(channel.hasNoUnreadInput(), "the byte is gone");
+            assertTrue(channel.hasNoUnreadInput(), "the previous call has consumed the byte");
             server.close();
             while (channel.hasNoUnreadInput()) {
                 Thread.onSpinWait();
             }
-            assertFalse(channel.hasNoUnreadInput(), "the end stays");
+            assertFalse(channel.hasNoUnreadInput(), "the end of the connection is still reported");
         } finally {
             loop.parent().shutdownGracefully();
         }
     }
 
     @Test
-    void aDialForWhichThereIsNoDescriptorEndsAndIsNotCountedAnyMore() throws Exception {
+    void connectWithoutADescriptorFailsAndReleasesItsReservation() throws Exception {
         EventLoop loop = ProxyNode.newLoop();
         try {
             DescriptorBudget sockets = new DescriptorBudget(256);
@@ -192,12 +202,12 @@
                     });
             EndpointList list = new EndpointListDecoder(List.of())
                     .decode(new ObjectMapper().readTree(ProxyFixture.list(1, true, "s0=127.0.0.1:9=Ready")));
-            BlockingQueue<AttemptResult> ends = new LinkedBlockingQueue<>();
+            BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
             loop.execute(() -> pool.onEndpointList(list));
-            // More than the node may have open.
+            // More connects than the descriptor budget allows at the same time.
             for (int i = 0; i < 300; i++) {
-                loop.execute(() -> pool.start("s0", new Collected(ends, "t")));
-                assertEquals(AttemptResult.CONNECT_FAILED, ScriptedHttpServer.next(ends));
+                loop.execute(() -> pool.start("s0", new RecordingExchange(results, "t")));
+                assertEquals(AttemptResult.CONNECT_FAILED, ScriptedHttpServer.next(results));
             }
             assertTrue(loop.submit(sockets::hasCapacityForUpstream).get());
         } finally {
@@ -205,20 +215,20 @@
         }
     }
 
-    /** Runs a task so deep in listeners of the loop that Netty tells further listeners in a later turn. */
-    private static void whereListenersAreDeferred(EventLoop loop, int depth, Runnable task) {
+    /** Runs a task in nested listeners, so deep that Netty notifies further listeners in a later event loop task. */
+    private static void runWhereListenersAreDeferred(EventLoop loop, int depth, Runnable task) {
         if (depth == 0) {
             task.run();
             return;
         }
         Promise<Void> promise = loop.newPromise();
-        promise.addListener(done -> whereListenersAreDeferred(loop, depth - 1, task));
+        promise.addListener(done -> runWhereListenersAreDeferred(loop, depth - 1, task));
         promise.setSuccess(null);
     }
 
     @Test
     @Timeout(60)
-    void whatWasSentWholeMayHaveRunAlsoBeforeListenersOfTheWriteAreTold() throws Exception {
+    void abandonReportsAFullyWrittenRequestBeforeWriteListenersAreNotified() throws Exception {
         EventLoop loop = ProxyNode.newLoop();
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x")) {
             UpstreamConnectionPool pool = new UpstreamConnectionPool(
@@ -226,13 +236,13 @@
             EndpointList list = new EndpointListDecoder(List.of())
                     .decode(new ObjectMapper()
                             .readTree(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready")));
-            BlockingQueue<AttemptResult> ends = new LinkedBlockingQueue<>();
+            BlockingQueue<AttemptResult> results = new LinkedBlockingQueue<>();
             loop.execute(() -> pool.onEndpointList(list));
-            loop.execute(() -> pool.start("s0", new Collected(ends, "first")));
-            assertEquals(AttemptResult.OK, ScriptedHttpServer.next(ends));
+            loop.execute(() -> pool.start("s0", new RecordingExchange(results, "first")));
+            assertEquals(AttemptResult.OK, ScriptedHttpServer.next(results));
             BlockingQueue<Boolean> mayHaveRun = new LinkedBlockingQueue<>();
-            loop.execute(() -> whereListenersAreDeferred(loop, 8, () -> {
-                UpstreamExchange second = new Collected(ends, "second");
+            loop.execute(() -> runWhereListenersAreDeferred(loop, 8, () -> {
+                UpstreamExchange second = new RecordingExchange(results, "second");
                 pool.start("s0", second);
                 mayHaveRun.add(pool.abandon("s0", second));
             }));
@@ -240,14 +250,16 @@
             assertEquals(
                     "first", ScriptedHttpServer.next(server.requests).headers().get("x-txn"));
             assertEquals(
-                    "second", ScriptedHttpServer.next(server.requests).headers().get("x-txn"), "it did run");
+                    "second",
+                    ScriptedHttpServer.next(server.requests).headers().get("x-txn"),
+                    "the endpoint has received the abandoned request");
         } finally {
             loop.parent().shutdownGracefully();
         }
     }
 
-    /** An exchange of which only the end is wanted. */
-    private record Collected(BlockingQueue<AttemptResult> ends, String txn) implements UpstreamExchange {
+    /** An exchange that only records its result. */
+    private record RecordingExchange(BlockingQueue<AttemptResult> results, String txn) implements UpstreamExchange {
         @Override
         public boolean isActive() {
             return true;
@@ -262,35 +274,37 @@
 
         @Override
         public void onCompleted(AttemptResult result, byte[] body) {
-            ends.add(result);
+            results.add(result);
         }
     }
 
     @Test
-    void interimAnswersArePassedOver() throws Exception {
+    void informationalResponsesAreIgnored() throws Exception {
         try (ScriptedHttpServer server = new ScriptedHttpServer((request, peer) -> peer.write(
                         "HTTP/1.1 102 Processing\r\n\r\n" + "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"
                                 + HttpMessages.ok("final")));
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
-            assertEquals("final", site.ask(HttpMessages.page("t")).body());
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(server)) {
+            assertEquals("final", proxyFixture.ask(HttpMessages.page("t")).body());
         }
     }
 
     @Test
-    void whatComesBehindAnAnswerDoesNotAnswerTheNext() throws Exception {
+    void surplusResponseIsNotUsedForTheNextRequest() throws Exception {
         try (ScriptedHttpServer server = new ScriptedHttpServer((request, peer) ->
                         peer.write(HttpMessages.ok(request.headers().get("x-txn")) + HttpMessages.ok("stray")));
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(server)) {
             for (int i = 0; i < 3; i++) {
                 assertEquals(
                         "t" + i,
-                        site.ask(HttpMessages.page("/api/p", "t" + i, "4000m")).body());
+                        proxyFixture
+                                .ask(HttpMessages.page("/api/p", "t" + i, "4000m"))
+                                .body());
             }
         }
     }
 
     @Test
-    void aSecondAnswerSomeTimeBehindTheFirstDoesNotAnswerTheNext() throws Exception {
+    void lateSurplusResponseIsNotUsedForTheNextRequest() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         try (ScriptedHttpServer server = new ScriptedHttpServer((request, peer) -> {
                     if (request.headers().get("x-txn").equals("second")) {
@@ -298,106 +312,115 @@
                     }
                     peer.write(HttpMessages.ok(request.headers().get("x-txn")));
                 });
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.connectionReuseDelayUs = 3_600_000_000L;
-            site.start(server);
-            assertEquals("first", site.ask(HttpMessages.order("first", "4000m")).body());
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat()) {
+            proxyFixture.connectionReuseDelayUs = 3_600_000_000L;
+            proxyFixture.start(server);
+            assertEquals(
+                    "first",
+                    proxyFixture.ask(HttpMessages.order("first", "4000m")).body());
             ScriptedHttpServer.Peer first = ScriptedHttpServer.next(server.peers);
             ScriptedHttpServer.next(server.requests);
-            Socket client = site.connect();
+            Socket client = proxyFixture.connect();
             ProxyFixture.write(client, HttpMessages.order("second", "20000m"));
             ScriptedHttpServer.next(server.requests);
             first.write(HttpMessages.ok("stray"));
-            assertEquals(first, ScriptedHttpServer.next(server.ended), "nothing on it can be told apart any more");
+            assertEquals(first, ScriptedHttpServer.next(server.ended), "the surplus response closes its connection");
             release.countDown();
             assertEquals("second", HttpMessages.read(client.getInputStream()).body());
         }
     }
 
     @Test
-    void aConnectionIsUsedAgainOnceItHasRested() throws Exception {
+    void connectionIsReusedAfterTheReuseDelay() throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.connectionReuseDelayUs = 1;
-            site.start(server);
-            int asked = 0;
-            // A rest may not be over as the next request comes; that none ever were would be a defect.
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat()) {
+            proxyFixture.connectionReuseDelayUs = 1;
+            proxyFixture.start(server);
+            int requestCount = 0;
+            // The reuse delay may not be over when the next request arrives, but it must be over for one of the
+            // requests.
             do {
                 assertEquals(
                         200,
-                        site.ask(HttpMessages.page("/api/p", "t" + asked++, "4000m"))
+                        proxyFixture
+                                .ask(HttpMessages.page("/api/p", "t" + requestCount++, "4000m"))
                                 .status());
-            } while (server.connections.get() == asked && asked < 1_000);
-            assertTrue(asked < 1_000, "each request had a connection of its own");
+            } while (server.connections.get() == requestCount && requestCount < 1_000);
+            assertTrue(requestCount < 1_000, "no connection was reused");
         }
     }
 
     @Test
-    void wordOfADrainClosesWhatRests() throws Exception {
+    void drainClosesConnectionsDuringTheirReuseDelay() throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.connectionReuseDelayUs = 3_600_000_000L;
-            site.start(server);
-            ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(site.discovery.peers);
-            assertEquals(200, site.ask(HttpMessages.page("t")).status());
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat()) {
+            proxyFixture.connectionReuseDelayUs = 3_600_000_000L;
+            proxyFixture.start(server);
+            ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(proxyFixture.discovery.peers);
+            assertEquals(200, proxyFixture.ask(HttpMessages.page("t")).status());
             watch.write(ProxyFixture.chunk(ProxyFixture.list(2, false, "s0=" + server.endpoint() + "=Terminating")));
             assertEquals(ScriptedHttpServer.next(server.peers), ScriptedHttpServer.next(server.ended));
         }
     }
 
     @Test
-    void anAttemptOutOfTimeIsGivenUpByClosingItsConnection() throws Exception {
-        try (ScriptedHttpServer silent = new ScriptedHttpServer((request, peer) -> {});
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(silent)) {
-            assertEquals(502, site.ask(HttpMessages.order("t", "100m")).status());
-            ScriptedHttpServer.next(silent.ended);
+    void timedOutAttemptClosesItsConnection() throws Exception {
+        try (ScriptedHttpServer silentServer = new ScriptedHttpServer((request, peer) -> {});
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(silentServer)) {
+            assertEquals(502, proxyFixture.ask(HttpMessages.order("t", "100m")).status());
+            ScriptedHttpServer.next(silentServer.ended);
         }
     }
 
     @Test
-    void theMostRecentlyUsedConnectionIsTakenAndOldOnesAreClosed() throws Exception {
+    void idleConnectionIsReusedAndClosedBeforeItsIdleTimeout() throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.upstreamIdleTimeoutUs = 200_000;
-            site.start(server);
-            assertEquals(200, site.ask(HttpMessages.page("a")).status());
-            assertEquals(200, site.ask(HttpMessages.page("b")).status());
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat()) {
+            proxyFixture.upstreamIdleTimeoutUs = 200_000;
+            proxyFixture.start(server);
+            assertEquals(200, proxyFixture.ask(HttpMessages.page("a")).status());
+            assertEquals(200, proxyFixture.ask(HttpMessages.page("b")).status());
             ScriptedHttpServer.Peer first = ScriptedHttpServer.next(server.peers);
-            assertEquals(first, ScriptedHttpServer.next(server.peers), "used again");
-            assertEquals(first, ScriptedHttpServer.next(server.ended), "closed by the node before the server does");
-            assertEquals(200, site.ask(HttpMessages.page("c")).status());
+            assertEquals(first, ScriptedHttpServer.next(server.peers), "the connection is reused");
+            assertEquals(
+                    first,
+                    ScriptedHttpServer.next(server.ended),
+                    "the proxy closes the idle connection before the endpoint does");
+            assertEquals(200, proxyFixture.ask(HttpMessages.page("c")).status());
             assertNotEquals(first, ScriptedHttpServer.next(server.peers));
         }
     }
 
     @Test
-    void wordOfADrainFreesWhatAwaitsAConnection() throws Exception {
+    void drainMovesAPendingRequestToAnotherEndpoint() throws Exception {
         try (HangingListener hanging = new HangingListener();
-                ScriptedHttpServer good = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            String hangs = "s0=" + hanging.endpoint();
-            site.startWithCachedList(ProxyFixture.list(1, true, hangs + "=Ready"));
-            ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(site.discovery.peers);
-            Socket client = site.connect();
+                ScriptedHttpServer healthyServer = ScriptedHttpServer.serving("x");
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat()) {
+            String hangingEndpoint = "s0=" + hanging.endpoint();
+            proxyFixture.startWithCachedList(ProxyFixture.list(1, true, hangingEndpoint + "=Ready"));
+            ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(proxyFixture.discovery.peers);
+            Socket client = proxyFixture.connect();
             ProxyFixture.write(client, HttpMessages.order("t", "5000m"));
-            // Once the answer to a later request is there, the order has been taken up and awaits its turn.
-            site.awaitPriorInputRead();
-            watch.write(ProxyFixture.chunk(
-                    ProxyFixture.list(2, false, hangs + "=Terminating", "s1=" + good.endpoint() + "=Ready") + "\n"));
+            // The proxy has read the order by now, and the order waits for a connection.
+            proxyFixture.awaitPriorInputRead();
+            watch.write(ProxyFixture.chunk(ProxyFixture.list(
+                            2, false, hangingEndpoint + "=Terminating", "s1=" + healthyServer.endpoint() + "=Ready")
+                    + "\n"));
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
         }
     }
 
     @Test
-    void aChangedEndpointMovesNewConnections() throws Exception {
-        try (ScriptedHttpServer before = ScriptedHttpServer.serving("old");
-                ScriptedHttpServer after = ScriptedHttpServer.serving("new");
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(before)) {
-            ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(site.discovery.peers);
-            assertEquals("old", site.ask(HttpMessages.page("a")).body());
-            watch.write(ProxyFixture.chunk(ProxyFixture.list(2, false, "s0=" + after.endpoint() + "=Ready") + "\n"));
-            ScriptedHttpServer.next(before.ended);
-            assertEquals("new", site.ask(HttpMessages.page("b")).body());
+    void changedAddressIsUsedForNewConnections() throws Exception {
+        try (ScriptedHttpServer oldServer = ScriptedHttpServer.serving("old");
+                ScriptedHttpServer newServer = ScriptedHttpServer.serving("new");
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(oldServer)) {
+            ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(proxyFixture.discovery.peers);
+            assertEquals("old", proxyFixture.ask(HttpMessages.page("a")).body());
+            watch.write(
+                    ProxyFixture.chunk(ProxyFixture.list(2, false, "s0=" + newServer.endpoint() + "=Ready") + "\n"));
+            ScriptedHttpServer.next(oldServer.ended);
+            assertEquals("new", proxyFixture.ask(HttpMessages.page("b")).body());
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamResponseTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamResponseTest.java
@@ -21,28 +21,32 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** Which response is whole, and which request it answers. */
+/** Tests when a response is complete and that it is used only for its own request. */
 @Timeout(60)
 class UpstreamResponseTest {
-    private static final String NO_LENGTH = "HTTP/1.1 200 OK\r\n\r\n";
-    private static final String SHORT_BODY = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\npart of it";
-    private static final String OPEN_CHUNKS = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n";
-    private static final String CUT_CHUNK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nwhole";
+    private static final String HEAD_WITHOUT_LENGTH = "HTTP/1.1 200 OK\r\n\r\n";
+    private static final String TRUNCATED_BODY = "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\npart of it";
+    private static final String MISSING_LAST_CHUNK =
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n";
+    private static final String TRUNCATED_CHUNK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nwhole";
 
     @ParameterizedTest
     @ValueSource(strings = {"", "how long is this"})
-    void aResponseWithoutALengthIsWholeAsItsServerEndsSending(String body) throws Exception {
+    void responseWithoutLengthIsCompleteWhenTheEndpointShutsDownItsOutput(String body) throws Exception {
         try (ScriptedHttpServer server = new ScriptedHttpServer((request, peer) -> {
-                    peer.write(NO_LENGTH + body);
+                    peer.write(HEAD_WITHOUT_LENGTH + body);
                     peer.socket().shutdownOutput();
                 });
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(server)) {
             for (int i = 0; i < 2; i++) {
-                HttpMessages.Message response = site.ask(HttpMessages.order("t" + i, "4000m"));
+                HttpMessages.Message response = proxyFixture.ask(HttpMessages.order("t" + i, "4000m"));
                 assertEquals(200, response.status());
                 assertEquals(body, response.body());
             }
-            assertEquals(2, server.connections.get(), "what has ended carries nothing more");
+            assertEquals(
+                    2,
+                    server.connections.get(),
+                    "each request needs a new connection, because the endpoint has shut down its output");
         }
     }
 
@@ -51,66 +55,68 @@
             strings = {
                 "",
                 "HTTP/1.1 200",
-                NO_LENGTH,
-                NO_LENGTH + "some bytes, or all of them",
-                SHORT_BODY,
-                OPEN_CHUNKS,
-                CUT_CHUNK
+                HEAD_WITHOUT_LENGTH,
+                HEAD_WITHOUT_LENGTH + "some bytes, or all of them",
+                TRUNCATED_BODY,
+                MISSING_LAST_CHUNK,
+                TRUNCATED_CHUNK
             })
-    void aResetIsNoEndOfAResponse(String begun) throws Exception {
-        CountDownLatch read = new CountDownLatch(1);
+    void resetDoesNotCompleteAResponse(String partialResponse) throws Exception {
+        CountDownLatch partialResponseRead = new CountDownLatch(1);
         try (ScriptedHttpServer server = new ScriptedHttpServer((request, peer) -> {
-                    peer.write(begun);
-                    ScriptedHttpServer.await(read);
+                    peer.write(partialResponse);
+                    ScriptedHttpServer.await(partialResponseRead);
                     peer.reset();
                 });
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
-            Socket client = site.connect();
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(server)) {
+            Socket client = proxyFixture.connect();
             ProxyFixture.write(client, HttpMessages.order("t", "20000m"));
             ScriptedHttpServer.next(server.requests);
-            // What has been written is read before the reset: a reset drops what waits unread.
-            site.awaitPriorInputRead();
-            read.countDown();
+            // The reset follows only after the proxy has read the partial response, because a reset discards unread
+            // input.
+            proxyFixture.awaitPriorInputRead();
+            partialResponseRead.countDown();
             assertEquals(502, HttpMessages.read(client.getInputStream()).status());
-            assertTrue(server.requests.isEmpty(), "an order is sent once");
+            assertTrue(server.requests.isEmpty(), "the order must not be sent again");
         }
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "HTTP/1.1 200", SHORT_BODY, OPEN_CHUNKS, CUT_CHUNK})
-    void theEndOfSendingDoesNotMakeACutResponseWhole(String begun) throws Exception {
+    @ValueSource(strings = {"", "HTTP/1.1 200", TRUNCATED_BODY, MISSING_LAST_CHUNK, TRUNCATED_CHUNK})
+    void outputShutdownDoesNotCompleteATruncatedResponse(String partialResponse) throws Exception {
         try (ScriptedHttpServer server = new ScriptedHttpServer((request, peer) -> {
-                    peer.write(begun);
+                    peer.write(partialResponse);
                     peer.socket().shutdownOutput();
                 });
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
-            assertEquals(502, site.ask(HttpMessages.order("t", "20000m")).status());
-            assertEquals(1, server.requests.size(), "an order is sent once");
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(server)) {
+            assertEquals(
+                    502, proxyFixture.ask(HttpMessages.order("t", "20000m")).status());
+            assertEquals(1, server.requests.size(), "the order must not be sent again");
         }
     }
 
     @Test
-    void whatTheNodeGivesUpIsNotWholeByItsOwnClose() throws Exception {
+    void closeByTheProxyDoesNotCompleteAResponse() throws Exception {
         try (ScriptedHttpServer server =
-                        new ScriptedHttpServer((request, peer) -> peer.write(NO_LENGTH + "some bytes"));
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
-            assertEquals(502, site.ask(HttpMessages.order("t", "300m")).status());
+                        new ScriptedHttpServer((request, peer) -> peer.write(HEAD_WITHOUT_LENGTH + "some bytes"));
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(server)) {
+            assertEquals(502, proxyFixture.ask(HttpMessages.order("t", "300m")).status());
         }
     }
 
-    /** A response that crosses the end of its attempt must answer neither that request nor a later one. */
+    /** A response that arrives after the timeout of its attempt must be used neither for that request nor for a later one. */
     @Test
-    void aResponseThatCrossesATimeOutAnswersNoOtherRequest() throws Exception {
-        AtomicInteger asked = new AtomicInteger();
+    void lateResponseAfterATimeoutIsNotUsedForAnotherRequest() throws Exception {
+        AtomicInteger requestCount = new AtomicInteger();
         CountDownLatch timedOut = new CountDownLatch(1);
         try (ScriptedHttpServer server = new ScriptedHttpServer((request, peer) -> {
-                    if (asked.getAndIncrement() == 0) {
+                    if (requestCount.getAndIncrement() == 0) {
                         ScriptedHttpServer.await(timedOut);
                     }
                     peer.write(HttpMessages.ok(request.headers().get("x-txn")));
                 });
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
-            Socket client = site.connect();
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(server)) {
+            Socket client = proxyFixture.connect();
             assertEquals(
                     502,
                     ProxyFixture.ask(client, HttpMessages.order("first", "200m"))
@@ -124,38 +130,39 @@
     }
 
     @Test
-    void aResponseThatCrossesItsClientsLeavingAnswersNoOtherRequest() throws Exception {
-        AtomicInteger asked = new AtomicInteger();
-        CountDownLatch left = new CountDownLatch(1);
+    void lateResponseAfterAClientDisconnectIsNotUsedForAnotherRequest() throws Exception {
+        AtomicInteger requestCount = new AtomicInteger();
+        CountDownLatch clientDisconnected = new CountDownLatch(1);
         try (ScriptedHttpServer server = new ScriptedHttpServer((request, peer) -> {
-                    if (asked.getAndIncrement() == 0) {
-                        ScriptedHttpServer.await(left);
+                    if (requestCount.getAndIncrement() == 0) {
+                        ScriptedHttpServer.await(clientDisconnected);
                     }
                     peer.write(HttpMessages.ok(request.headers().get("x-txn")));
                 });
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
-            Socket leaves = site.connect();
-            ProxyFixture.write(leaves, HttpMessages.order("first", "20000m"));
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(server)) {
+            Socket leavingClient = proxyFixture.connect();
+            ProxyFixture.write(leavingClient, HttpMessages.order("first", "20000m"));
             ScriptedHttpServer.next(server.requests);
-            leaves.close();
-            site.awaitPriorInputRead();
-            left.countDown();
+            leavingClient.close();
+            proxyFixture.awaitPriorInputRead();
+            clientDisconnected.countDown();
             assertEquals(
-                    "second", site.ask(HttpMessages.order("second", "20000m")).body());
+                    "second",
+                    proxyFixture.ask(HttpMessages.order("second", "20000m")).body());
         }
     }
 
-    /** A server that answers as soon as a request has begun; it takes one connection. */
-    private static ServerSocket answeringAtTheFirstByte(String response) throws IOException {
+    /** Starts a server that accepts one connection and responds as soon as it receives the first byte of a request. */
+    private static ServerSocket startServerThatRespondsToTheFirstByte(String response) throws IOException {
         ServerSocket listening = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         Thread server = new Thread(() -> {
             try (Socket socket = listening.accept()) {
                 socket.getInputStream().read();
                 socket.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
-                // Until the node closes: it never sends the rest.
+                // Reads until the proxy closes the connection; the proxy never sends the rest of the request.
                 socket.getInputStream().transferTo(OutputStream.nullOutputStream());
             } catch (IOException e) {
-                // The node has reset it.
+                // The proxy has reset the connection.
             }
         });
         server.setDaemon(true);
@@ -163,33 +170,43 @@
         return listening;
     }
 
-    /** It is no answer to that request, which the server never begins without its last byte. */
+    /**
+     * A response that precedes the last byte of a request must not be served, because an endpoint does not start to execute
+     * a request before its last byte.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"200 OK", "500 Error", "503 Busy\r\nX-Turned-Away: 1"})
-    void aResponseBeforeItsRequestIsWrittenWholeIsNotServed(String status) throws Exception {
-        try (ServerSocket early = answeringAtTheFirstByte(HttpMessages.answer(status, "", "x"));
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.settings.maxAttempts = 1;
-            site.upstreamChannels = () -> new StallingChannel(new CountDownLatch(1));
-            site.startWithCachedList(ProxyFixture.list(1, true, "s0=127.0.0.1:" + early.getLocalPort() + "=Ready"));
-            assertEquals(503, site.ask(HttpMessages.order("t", "20000m")).status(), "known never to have run");
+    void responseBeforeTheRequestIsFullyWrittenIsNotServed(String status) throws Exception {
+        try (ServerSocket earlyServer = startServerThatRespondsToTheFirstByte(HttpMessages.answer(status, "", "x"));
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat()) {
+            proxyFixture.settings.maxAttempts = 1;
+            proxyFixture.upstreamChannels = () -> new StallingChannel(new CountDownLatch(1));
+            proxyFixture.startWithCachedList(
+                    ProxyFixture.list(1, true, "s0=127.0.0.1:" + earlyServer.getLocalPort() + "=Ready"));
+            assertEquals(
+                    503,
+                    proxyFixture.ask(HttpMessages.order("t", "20000m")).status(),
+                    "the order is rejected, as it was certainly not executed");
         }
     }
 
-    /** A request that its client has left must not become whole at a server, with or without leave to cancel. */
+    /**
+     * An endpoint must not receive the rest of a request whose client has disconnected, whether or not cancellation is
+     * enabled.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aRequestThatIsWrittenInPartIsBrokenOffAsItsClientLeaves(boolean cancel) throws Exception {
+    void partlyWrittenRequestIsAbortedWhenItsClientDisconnects(boolean isCancellationEnabled) throws Exception {
         CountDownLatch stalled = new CountDownLatch(1);
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.settings.cancellationEnabled = cancel;
-            site.upstreamChannels = () -> new StallingChannel(stalled);
-            site.start(server);
-            Socket leaves = site.connect();
-            ProxyFixture.write(leaves, HttpMessages.order("t", "3600000m"));
+                ProxyFixture proxyFixture = ProxyFixture.withHeartbeat()) {
+            proxyFixture.settings.cancellationEnabled = isCancellationEnabled;
+            proxyFixture.upstreamChannels = () -> new StallingChannel(stalled);
+            proxyFixture.start(server);
+            Socket leavingClient = proxyFixture.connect();
+            ProxyFixture.write(leavingClient, HttpMessages.order("t", "3600000m"));
             stalled.await();
-            leaves.close();
+            leavingClient.close();
             ScriptedHttpServer.next(server.ended);
             assertTrue(server.requests.isEmpty());
         }
