--- a/src/test/java/loadbalancer/faultinjection/ClosedLoopClient.java
+++ b/src/test/java/loadbalancer/faultinjection/ClosedLoopClient.java
@@ -7,44 +7,44 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A client that asks one request after another on a connection that it keeps open, until it is closed. */
+/** A client that sends one request after another on a keep-alive connection and reconnects if the connection closes. */
 final class ClosedLoopClient implements AutoCloseable {
-    private static final long PAUSE_MS = 10;
+    private static final long REQUEST_PAUSE_MS = 10;
 
-    private final InetSocketAddress node;
-    private final String name;
-    private final AtomicInteger answers = new AtomicInteger();
+    private final InetSocketAddress nodeAddress;
+    private final String clientName;
+    private final AtomicInteger responseCount = new AtomicInteger();
     private volatile boolean closed;
 
-    ClosedLoopClient(String name, InetSocketAddress node) {
-        this.name = name;
-        this.node = node;
+    ClosedLoopClient(String clientName, InetSocketAddress nodeAddress) {
+        this.clientName = clientName;
+        this.nodeAddress = nodeAddress;
         StandInThreads.start(this::run);
     }
 
-    /** How many whole responses it has read, whatever their status. */
-    int answers() {
-        return answers.get();
+    /** Returns the requestNumber of complete responses of any status. */
+    int responseCount() {
+        return responseCount.get();
     }
 
     private void run() throws InterruptedException {
-        int number = 0;
+        int requestNumber = 0;
         while (!closed) {
-            try (Socket socket = new Socket(node.getAddress(), node.getPort())) {
+            try (Socket socket = new Socket(nodeAddress.getAddress(), nodeAddress.getPort())) {
                 socket.setTcpNoDelay(true);
                 while (!closed) {
-                    ask(socket, name + "-" + number++);
-                    Thread.sleep(PAUSE_MS);
+                    sendRequest(socket, clientName + "-" + requestNumber++);
+                    Thread.sleep(REQUEST_PAUSE_MS);
                 }
             } catch (IOException e) {
-                // The node has closed the connection: the next request opens another.
-                Thread.sleep(PAUSE_MS);
+                // The node has closed the connection. The next request opens another one.
+                Thread.sleep(REQUEST_PAUSE_MS);
             }
         }
     }
 
-    private void ask(Socket socket, String id) throws IOException {
-        String request = "GET /api/page HTTP/1.1\r\nHost: backend.local\r\nX-Txn: " + id
+    private void sendRequest(Socket socket, String requestId) throws IOException {
+        String request = "GET /api/page HTTP/1.1\r\nHost: backend.local\r\nX-Txn: " + requestId
                 + "\r\nX-Lane: page\r\nX-Remaining: 1000m\r\n\r\n";
         socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
         InputStream in = socket.getInputStream();
@@ -52,13 +52,13 @@
         while (head.indexOf("\r\n\r\n") < 0) {
             int next = in.read();
             if (next < 0) {
-                throw new IOException("connection ended");
+                throw new IOException("connection closed before the end of the response head");
             }
             head.append((char) next);
         }
         String length = head.toString().replaceAll("(?is).*content-length: *([0-9]+).*", "$1");
         in.readNBytes(Integer.parseInt(length));
-        answers.incrementAndGet();
+        responseCount.incrementAndGet();
     }
 
     @Override
--- a/src/test/java/loadbalancer/faultinjection/DrainOracle.java
+++ b/src/test/java/loadbalancer/faultinjection/DrainOracle.java
@@ -11,28 +11,36 @@
 import loadbalancer.faultinjection.StandInUpstream.Arrival;
 
 /**
- * Judges the rule {@code drain} from what the stand-ins have recorded, by the terms of the protocol: a change counts
- * as notified when discovery has begun to write it, 2 s after it has ended a watch instead of telling it, 6 s after
- * discovery had it and could be reached, or 4 s after a SIGHUP that moved discovery, whichever is first; 0.5 s after
- * that, and 50 ms of slack, nothing new may reach the server. Times are nanoseconds of the monotonic clock.
+ * Checks the rule {@code drain} against the records of the stand-ins. By the protocol, a change counts as notified at the
+ * earliest of these times:
+ *
+ * <ul>
+ *   <li>when discovery starts to write the change to the node
+ *   <li>2 s after discovery ends a watch without sending the change
+ *   <li>6 s after discovery has the change and is reachable
+ *   <li>4 s after both have happened: a SIGHUP has moved discovery to another address, and discovery has the change
+ * </ul>
+ *
+ * <p>No new request may reach the endpoint later than 0.5 s after the notification, with a tolerance of 50 ms. Times are
+ * nanoseconds of the monotonic clock.
  */
 final class DrainOracle {
-    private static final long NOTIFIED_NANOS = 6_000_000_000L;
-    private static final long NOTIFIED_AFTER_SIGNAL_NANOS = 4_000_000_000L;
-    private static final long NOTIFIED_AFTER_END_NANOS = 2_000_000_000L;
+    private static final long MAX_NOTIFICATION_DELAY_NANOS = 6_000_000_000L;
+    private static final long MAX_DELAY_AFTER_SIGNAL_NANOS = 4_000_000_000L;
+    private static final long DELAY_AFTER_WATCH_END_NANOS = 2_000_000_000L;
     private static final long GRACE_NANOS = 500_000_000L;
-    private static final long SLACK_NANOS = 50_000_000L;
+    private static final long TOLERANCE_NANOS = 50_000_000L;
 
-    /** A request that came too late, and by how much. */
+    /** A request that reached an endpoint too late, and the time by which it was late. */
     record Violation(Arrival arrival, long lateNanos) {
         @Override
         public String toString() {
             return "request %s reached %s %.3f s after the grace"
-                    .formatted(arrival.id(), arrival.server(), lateNanos / 1e9);
+                    .formatted(arrival.requestId(), arrival.endpointId(), lateNanos / 1e9);
         }
     }
 
-    /** Of a signal that has not come. */
+    /** The value of {@code signalNanos} if no SIGHUP was sent. */
     static final long NO_SIGNAL = Long.MAX_VALUE;
 
     private final long reachableFromNanos;
@@ -42,8 +50,10 @@
     private final List<Withheld> withheld;
 
     /**
-     * For one node, whose discovery could be reached from a moment on without a pause, and which was told by SIGHUP at
-     * another, or at {@link #NO_SIGNAL}, that discovery has moved.
+     * Creates the oracle for one node.
+     *
+     * @param reachableFromNanos the time since which discovery has been reachable without interruption
+     * @param signalNanos when SIGHUP told the node that discovery has moved, or {@link #NO_SIGNAL}
      */
     DrainOracle(
             long reachableFromNanos,
@@ -58,47 +68,51 @@
         this.withheld = withheld;
     }
 
-    /** When the change that made this version (from 1) counts as notified. */
+    /** Returns when the change that made this version counts as notified. The first version with a change is 1. */
     long notifiedAtNanos(int version) {
-        long hadNanos = changes.get(version - 1).atNanos();
-        long atLatest = Math.max(hadNanos, reachableFromNanos) + NOTIFIED_NANOS;
+        long changedAtNanos = changes.get(version - 1).atNanos();
+        long latestNanos = Math.max(changedAtNanos, reachableFromNanos) + MAX_NOTIFICATION_DELAY_NANOS;
         if (signalNanos != NO_SIGNAL) {
-            atLatest = Math.min(atLatest, Math.max(hadNanos, signalNanos) + NOTIFIED_AFTER_SIGNAL_NANOS);
+            latestNanos = Math.min(latestNanos, Math.max(changedAtNanos, signalNanos) + MAX_DELAY_AFTER_SIGNAL_NANOS);
         }
-        LongStream whenWritten =
+        LongStream writtenNanos =
                 written.stream().filter(each -> each.version() >= version).mapToLong(Written::atNanos);
-        LongStream whenWithheld = withheld.stream()
+        LongStream withheldNanos = withheld.stream()
                 .filter(each -> each.version() >= version)
-                .mapToLong(each -> each.atNanos() + NOTIFIED_AFTER_END_NANOS);
-        return LongStream.concat(whenWritten, whenWithheld).reduce(atLatest, Math::min);
+                .mapToLong(each -> each.atNanos() + DELAY_AFTER_WATCH_END_NANOS);
+        return LongStream.concat(writtenNanos, withheldNanos).reduce(latestNanos, Math::min);
     }
 
-    /** All requests of this node that reached a server later than allowed. */
-    List<Violation> judge(List<Arrival> arrivals) {
+    /** Returns all requests of the node that reached an endpoint later than allowed. */
+    List<Violation> findViolations(List<Arrival> arrivals) {
         List<Violation> violations = new ArrayList<>();
         for (Arrival arrival : arrivals) {
-            int version = lastChangeOf(arrival);
+            int version = applicableVersion(arrival);
             if (version > 0 && changes.get(version - 1).state() != State.READY) {
-                long late = arrival.firstByteNanos() - notifiedAtNanos(version) - GRACE_NANOS - SLACK_NANOS;
-                if (late > 0) {
-                    violations.add(new Violation(arrival, late));
+                long delayNanos = arrival.firstByteNanos() - notifiedAtNanos(version) - GRACE_NANOS - TOLERANCE_NANOS;
+                if (delayNanos > 0) {
+                    violations.add(new Violation(arrival, delayNanos));
                 }
             }
         }
         return violations;
     }
 
-    /** The version that last changed the server's state before the arrival, or 0. */
-    private int lastChangeOf(Arrival arrival) {
-        int last = 0;
+    /**
+     * Returns the version of the change that applies to the endpoint at the arrival, or 0 if there is none. If the endpoint
+     * has left the state READY, this is the first change of the current series of changes to other states.
+     */
+    private int applicableVersion(Arrival arrival) {
+        int version = 0;
         for (int i = 0; i < changes.size(); i++) {
             Change change = changes.get(i);
-            if (change.server().equals(arrival.server()) && change.atNanos() <= arrival.firstByteNanos()) {
-                // The first of several words that it leaves is what counts.
-                boolean leavesAlready = last > 0 && changes.get(last - 1).state() != State.READY;
-                last = leavesAlready && change.state() != State.READY ? last : i + 1;
+            if (change.endpointId().equals(arrival.endpointId()) && change.atNanos() <= arrival.firstByteNanos()) {
+                // The grace begins with the first of several changes that take the endpoint out of service.
+                boolean isAlreadyOutOfService =
+                        version > 0 && changes.get(version - 1).state() != State.READY;
+                version = isAlreadyOutOfService && change.state() != State.READY ? version : i + 1;
             }
         }
-        return last;
+        return version;
     }
 }
--- a/src/test/java/loadbalancer/faultinjection/EndpointListHistory.java
+++ b/src/test/java/loadbalancer/faultinjection/EndpointListHistory.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** The versions of a server list, each with its changes and the time at which discovery had it. */
+/** The versions of an endpoint list, each with one change and the time since which discovery has it. */
 final class EndpointListHistory {
-    /** What the list says of a server. */
+    /** The state of an endpoint in the list. */
     enum State {
         READY("Ready"),
         DRAINING("Terminating"),
@@ -21,25 +21,25 @@
         }
     }
 
-    /** One change: the server, its new state, and when discovery had it (nanoseconds of the monotonic clock). */
-    record Change(String server, State state, long atNanos) {}
+    /** A change of an endpoint's state, and the time since which discovery has it (nanoseconds of the monotonic clock). */
+    record Change(String endpointId, State state, long atNanos) {}
 
-    private final Map<String, String> endpoints = new LinkedHashMap<>();
+    private final Map<String, String> addressesById = new LinkedHashMap<>();
     private final List<Change> changes = new ArrayList<>();
 
-    /** Adds a server that is ready from before the first version on. */
-    synchronized void add(String server, String endpoint) {
-        endpoints.put(server, endpoint);
+    /** Adds an endpoint that is ready in version 0. */
+    synchronized void add(String endpointId, String address) {
+        addressesById.put(endpointId, address);
     }
 
-    /** Makes a new version at this moment. */
-    void change(String server, State state) {
-        change(server, state, System.nanoTime());
+    /** Adds a version that discovery has from now on. */
+    void change(String endpointId, State state) {
+        change(endpointId, state, System.nanoTime());
     }
 
-    /** Makes a new version which discovery has had since a moment that is past. */
-    synchronized void change(String server, State state, long atNanos) {
-        changes.add(new Change(server, state, atNanos));
+    /** Adds a version that discovery has from the given time on, which may be in the past. */
+    synchronized void change(String endpointId, State state, long atNanos) {
+        changes.add(new Change(endpointId, state, atNanos));
         notifyAll();
     }
 
@@ -47,13 +47,13 @@
         return changes.size();
     }
 
-    /** Waits until there is a version after this one, or some time is over. */
-    synchronized int awaitAfter(int version, long millis) throws InterruptedException {
-        long untilNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        long leftMillis = millis;
-        while (changes.size() <= version && leftMillis > 0) {
-            wait(leftMillis);
-            leftMillis = TimeUnit.NANOSECONDS.toMillis(untilNanos - System.nanoTime());
+    /** Waits for a version later than the given one, up to a timeout, and returns the latest version. */
+    synchronized int awaitAfter(int version, long timeoutMillis) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+        long remainingMillis = timeoutMillis;
+        while (changes.size() <= version && remainingMillis > 0) {
+            wait(remainingMillis);
+            remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
         }
         return changes.size();
     }
@@ -62,27 +62,27 @@
         return List.copyOf(changes);
     }
 
-    /** The whole list as of a version; servers that leave may be left out. */
-    synchronized String whole(int version, boolean withLeaving) {
+    /** Returns the complete list of a version, with or without draining endpoints. */
+    synchronized String completeList(int version, boolean includeDraining) {
         Map<String, State> states = new LinkedHashMap<>();
-        endpoints.keySet().forEach(server -> states.put(server, State.READY));
-        changes.subList(0, version).forEach(change -> states.put(change.server, change.state));
-        states.values().removeIf(state -> state == State.GONE || (!withLeaving && state != State.READY));
+        addressesById.keySet().forEach(endpointId -> states.put(endpointId, State.READY));
+        changes.subList(0, version).forEach(change -> states.put(change.endpointId, change.state));
+        states.values().removeIf(state -> state == State.GONE || (!includeDraining && state != State.READY));
         return message(version, true, states);
     }
 
-    /** The changes from one version to another. */
-    synchronized String between(int from, int to) {
+    /** Returns a list with only the changes after one version up to another. */
+    synchronized String changesBetween(int from, int to) {
         Map<String, State> states = new LinkedHashMap<>();
-        changes.subList(from, to).forEach(change -> states.put(change.server, change.state));
+        changes.subList(from, to).forEach(change -> states.put(change.endpointId, change.state));
         return message(to, false, states);
     }
 
-    private String message(int version, boolean whole, Map<String, State> states) {
+    private String message(int version, boolean isComplete, Map<String, State> states) {
         List<String> targets = new ArrayList<>();
-        states.forEach((server, state) -> targets.add(("{\"uid\":\"%s\",\"endpoint\":\"%s\",\"az\":\"here\","
+        states.forEach((endpointId, state) -> targets.add(("{\"uid\":\"%s\",\"endpoint\":\"%s\",\"az\":\"here\","
                         + "\"pod_group\":0,\"state\":\"%s\",\"capacity_hint\":1.0,\"boot_ms\":0}")
-                .formatted(server, endpoints.get(server), state.wireName)));
-        return "{\"rev\":%d,\"all\":%b,\"targets\":[%s]}".formatted(version, whole, String.join(",", targets));
+                .formatted(endpointId, addressesById.get(endpointId), state.wireName)));
+        return "{\"rev\":%d,\"all\":%b,\"targets\":[%s]}".formatted(version, isComplete, String.join(",", targets));
     }
 }
--- a/src/test/java/loadbalancer/faultinjection/ProxyProcess.java
+++ b/src/test/java/loadbalancer/faultinjection/ProxyProcess.java
@@ -17,30 +17,36 @@
 import loadbalancer.Main;
 
 /**
- * A node as a process, started by the command line of the deploy file. Tests run before the program is packaged, so
- * the classes stand in for its jar.
+ * A node in its own process, started with the command line of the deploy file. Tests run before the program is packaged,
+ * so the command line uses the class path of the test instead of the jar.
  */
 final class ProxyProcess implements AutoCloseable {
-    private static final String JAR = "-jar target/loadbalancer.jar";
-    private static final long START_S = 30;
+    private static final String JAR_OPTION = "-jar target/loadbalancer.jar";
+    private static final long START_TIMEOUT_S = 30;
 
     private final Path folder;
-    private final String known;
-    private final int nodes;
+    private final String knownList;
+    private final int fleetSize;
     private final int port;
     private final Process process;
     private final Queue<String> log = new ConcurrentLinkedQueue<>();
     private final CountDownLatch listening = new CountDownLatch(1);
 
-    /** Starts a node of a fleet of so many, which knows this list and asks for changes at this discovery. */
-    ProxyProcess(Path folder, int nodes, String known, String discovery) throws IOException {
+    /**
+     * Starts a node.
+     *
+     * @param fleetSize the number of nodes in the settings
+     * @param knownList the endpoint list in the configuration
+     * @param discovery the address of discovery
+     */
+    ProxyProcess(Path folder, int fleetSize, String knownList, String discovery) throws IOException {
         this.folder = folder;
-        this.known = known;
-        this.nodes = nodes;
+        this.knownList = knownList;
+        this.fleetSize = fleetSize;
         port = freePort();
         configure(discovery);
         String run = DeployFile.run()
-                .replace(JAR, "-cp '" + System.getProperty("java.class.path") + "' " + Main.class.getName());
+                .replace(JAR_OPTION, "-cp '" + System.getProperty("java.class.path") + "' " + Main.class.getName());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", run).redirectErrorStream(true);
         builder.environment().put("PROXY_CONFIG", folder.resolve("config.json").toString());
         process = builder.start();
@@ -53,7 +59,7 @@
         }
     }
 
-    /** Replaces the configuration file in one step. */
+    /** Replaces the configuration file atomically with one that names the given address of discovery. */
     void configure(String discovery) throws IOException {
         Path next = Files.writeString(
                 folder.resolve("next.json"),
@@ -63,7 +69,7 @@
                   "rules":{"askWithinUs":10000000,"drainGraceUs":500000},"limits":{"attemptsCap":3},
                   "classes":[{"name":"page","onTimeUs":500000,"giveUpUs":2000000,"repeat":"safe"}]}}
                 """
-                        .formatted(port, discovery, known, nodes));
+                        .formatted(port, discovery, knownList, fleetSize));
         Files.move(next, folder.resolve("config.json"), StandardCopyOption.REPLACE_EXISTING);
     }
 
@@ -81,8 +87,8 @@
 
     /** Waits until clients can connect. */
     void awaitListening() throws InterruptedException {
-        if (!listening.await(START_S, TimeUnit.SECONDS)) {
-            throw new IllegalStateException("not listening: " + log());
+        if (!listening.await(START_TIMEOUT_S, TimeUnit.SECONDS)) {
+            throw new IllegalStateException("node does not listen after " + START_TIMEOUT_S + " s; its log: " + log());
         }
     }
 
@@ -90,14 +96,14 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     }
 
-    /** Sends a signal by its name. */
+    /** Sends a signal, named as for the command kill, to the process. */
     void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                 .start()
                 .waitFor();
     }
 
-    /** What it has logged so far. */
+    /** Returns the output of the process so far. */
     String log() {
         return String.join("\n", log);
     }
--- a/src/test/java/loadbalancer/faultinjection/StandInDiscovery.java
+++ b/src/test/java/loadbalancer/faultinjection/StandInDiscovery.java
@@ -14,66 +14,66 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.IntFunction;
 
-/** Discovery for one node: each call meets the fault that a schedule gives it. */
+/** Stands in for discovery of one node. A schedule selects the fault of each call. */
 final class StandInDiscovery implements AutoCloseable {
-    /** What a call to discovery meets. */
+    /** The fault of a call to discovery. */
     enum Fault {
-        /** None: answered at once, then a watch. */
+        /** No fault: sends the list at once, then its changes. */
         NONE,
-        /** Waits its turn for three seconds, then is answered. */
+        /** Delays the response by three seconds, as if the call were queued. */
         QUEUED,
-        /** Accepted, and never a word. */
+        /** Accepts the connection and never sends anything. */
         SILENT,
-        /** The head of a response and nothing more. */
+        /** Sends only the head of a response. */
         HEAD_ONLY,
-        /** 503 at once. */
+        /** Responds with 503 at once. */
         BUSY,
-        /** 503 after it has waited for two seconds. */
+        /** Responds with 503 after two seconds. */
         BUSY_LATE,
-        /** 503 after it has waited its turn for three seconds. */
-        BUSY_AFTER_TURN,
-        /** Reset at once. */
+        /** Responds with 503 after three seconds, the delay of a queued call. */
+        BUSY_AFTER_QUEUE,
+        /** Resets the connection at once. */
         RESET,
-        /** Answered one byte at a time, 1 ms apart. */
+        /** Sends lists one byte at a time, 1 ms apart. */
         BYTEWISE,
-        /** Half a list, then a reset. */
-        CUT_SHORT,
-        /** The whole list without servers that leave. */
-        OMITS_LEAVING,
-        /** Ends at the first change instead of telling it. */
+        /** Sends half of the list, then resets the connection. */
+        TRUNCATED_LIST,
+        /** Sends the complete list without draining endpoints. */
+        OMITS_DRAINING,
+        /** Ends the watch at the first change without sending the change. */
         ENDS_AT_CHANGE,
-        /** Answered, then not a word more, whatever changes. */
+        /** Sends the list, then neither changes nor heartbeats. */
         FALLS_SILENT
     }
 
-    /** When a version was written to the node, at least in part (nanoseconds of the monotonic clock). */
+    /** The time when a version was written to the node, at least in part (nanoseconds of the monotonic clock). */
     record Written(int version, long atNanos) {}
 
-    /** When a watch was ended instead of telling a version (nanoseconds of the monotonic clock). */
+    /** The time when a watch ended without sending a version (nanoseconds of the monotonic clock). */
     record Withheld(int version, long atNanos) {}
 
-    private static final long HEARTBEAT_MS = 2_000;
-    private static final long QUEUE_MS = 3_000;
-    private static final long BUSY_MS = 2_000;
+    private static final long HEARTBEAT_INTERVAL_MS = 2_000;
+    private static final long QUEUE_DELAY_MS = 3_000;
+    private static final long BUSY_DELAY_MS = 2_000;
 
     private final EndpointListHistory history;
     private final IntFunction<Fault> schedule;
-    private final ServerSocket listening;
+    private final ServerSocket serverSocket;
     private final AtomicInteger calls = new AtomicInteger();
     private final Queue<Written> written = new ConcurrentLinkedQueue<>();
     private final Queue<Withheld> withheld = new ConcurrentLinkedQueue<>();
-    private final Queue<Socket> open = new ConcurrentLinkedQueue<>();
+    private final Queue<Socket> openSockets = new ConcurrentLinkedQueue<>();
 
-    /** The schedule is asked for the fault of each call by its number, from 0. */
+    /** Creates a stand-in that uses the schedule to map the number of each call, from 0, to its fault. */
     StandInDiscovery(EndpointListHistory history, IntFunction<Fault> schedule) throws IOException {
         this.history = history;
         this.schedule = schedule;
-        listening = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         StandInThreads.start(this::accept);
     }
 
-    String endpoint() {
-        return "127.0.0.1:" + listening.getLocalPort();
+    String address() {
+        return "127.0.0.1:" + serverSocket.getLocalPort();
     }
 
     int calls() {
@@ -90,14 +90,14 @@
 
     private void accept() throws IOException {
         while (true) {
-            Socket socket = listening.accept();
-            open.add(socket);
+            Socket socket = serverSocket.accept();
+            openSockets.add(socket);
             Fault fault = schedule.apply(calls.getAndIncrement());
             StandInThreads.start(() -> {
                 try {
                     serve(socket, fault);
                 } finally {
-                    open.remove(socket);
+                    openSockets.remove(socket);
                     if (fault != Fault.SILENT && fault != Fault.HEAD_ONLY) {
                         socket.close();
                     }
@@ -110,34 +110,34 @@
         socket.setTcpNoDelay(true);
         BufferedReader reader =
                 new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
-        String path = reader.readLine();
-        while (path != null && !reader.readLine().isEmpty()) {
-            // The headers say nothing that matters here.
+        String requestLine = reader.readLine();
+        while (requestLine != null && !reader.readLine().isEmpty()) {
+            // Skips the headers, which are not needed.
         }
-        if (path == null) {
+        if (requestLine == null) {
             return;
         }
         switch (fault) {
             case SILENT -> {}
-            case HEAD_ONLY -> write(socket, head());
+            case HEAD_ONLY -> write(socket, responseHead());
             case BUSY -> refuseAfter(0, socket);
-            case BUSY_LATE -> refuseAfter(BUSY_MS, socket);
-            case BUSY_AFTER_TURN -> refuseAfter(QUEUE_MS, socket);
+            case BUSY_LATE -> refuseAfter(BUSY_DELAY_MS, socket);
+            case BUSY_AFTER_QUEUE -> refuseAfter(QUEUE_DELAY_MS, socket);
             case RESET -> socket.setSoLinger(true, 0);
-            default -> watch(socket, fault, after(path));
+            default -> watch(socket, fault, parseAfter(requestLine));
         }
     }
 
-    private static String head() {
+    private static String responseHead() {
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     }
 
-    private static void refuseAfter(long waitMs, Socket socket) throws IOException, InterruptedException {
-        Thread.sleep(waitMs);
+    private static void refuseAfter(long delayMs, Socket socket) throws IOException, InterruptedException {
+        Thread.sleep(delayMs);
         write(socket, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
     }
 
-    private static int after(String requestLine) {
+    private static int parseAfter(String requestLine) {
         int at = requestLine.indexOf("after=");
         return at < 0
                 ? -1
@@ -146,14 +146,15 @@
 
     private void watch(Socket socket, Fault fault, int after) throws IOException, InterruptedException {
         if (fault == Fault.QUEUED) {
-            Thread.sleep(QUEUE_MS);
+            Thread.sleep(QUEUE_DELAY_MS);
         }
         int version = history.version();
-        boolean omits = fault == Fault.OMITS_LEAVING;
-        boolean whole = omits || after < 0 || after > version;
-        write(socket, head());
-        String first = whole ? history.whole(version, !omits) : history.between(after, version);
-        if (fault == Fault.CUT_SHORT) {
+        boolean omitsDraining = fault == Fault.OMITS_DRAINING;
+        boolean isComplete = omitsDraining || after < 0 || after > version;
+        write(socket, responseHead());
+        String first =
+                isComplete ? history.completeList(version, !omitsDraining) : history.changesBetween(after, version);
+        if (fault == Fault.TRUNCATED_LIST) {
             write(socket, chunk(first.substring(0, first.length() / 2)));
             written.add(new Written(version, System.nanoTime()));
             socket.setSoLinger(true, 0);
@@ -161,9 +162,9 @@
         }
         writeList(socket, first, fault, version);
         while (true) {
-            int next = history.awaitAfter(version, HEARTBEAT_MS);
+            int next = history.awaitAfter(version, HEARTBEAT_INTERVAL_MS);
             if (fault == Fault.FALLS_SILENT) {
-                // Until the node closes: what it sends is nothing.
+                // Waits until the node closes the connection; the node sends nothing on a watch.
                 if (socket.getInputStream().read() < 0) {
                     return;
                 }
@@ -173,7 +174,7 @@
                 withheld.add(new Withheld(next, System.nanoTime()));
                 return;
             } else {
-                writeList(socket, history.between(version, next), fault, next);
+                writeList(socket, history.changesBetween(version, next), fault, next);
                 version = next;
             }
         }
@@ -201,8 +202,8 @@
 
     @Override
     public void close() throws IOException {
-        listening.close();
-        for (Socket socket : open) {
+        serverSocket.close();
+        for (Socket socket : openSockets) {
             socket.close();
         }
     }
--- a/src/test/java/loadbalancer/faultinjection/StandInThreads.java
+++ b/src/test/java/loadbalancer/faultinjection/StandInThreads.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 
-/** Daemon threads of the stand-ins, which end with their sockets. */
+/** Starts daemon threads for the stand-ins. A thread ends when its socket is closed. */
 final class StandInThreads {
-    /** What a thread does until its socket is closed. */
+    /** The task of a thread. An exception of the declared types ends the thread silently. */
     interface Task {
         void run() throws IOException, InterruptedException;
     }
@@ -17,7 +17,7 @@
                     try {
                         task.run();
                     } catch (IOException | InterruptedException e) {
-                        // The other side has closed, or the test is over.
+                        // The peer has closed the connection, or the test is over.
                     }
                 },
                 "stand-in");
--- a/src/test/java/loadbalancer/faultinjection/StandInUpstream.java
+++ b/src/test/java/loadbalancer/faultinjection/StandInUpstream.java
@@ -12,27 +12,27 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** An app server that serves every request at once and records when its first byte came. */
+/** Stands in for an endpoint. It serves every request at once and records when the firstByte byte arrived. */
 final class StandInUpstream implements AutoCloseable {
-    /** A request that reached a server; the time is that of its first byte (nanoseconds, monotonic). */
-    record Arrival(String server, String id, long firstByteNanos) {}
+    /** A request that reached an endpoint, and the time of its firstByte byte (nanoseconds of the monotonic clock). */
+    record Arrival(String endpointId, String requestId, long firstByteNanos) {}
 
     private static final String ID_HEADER = "x-txn:";
     private static final String LENGTH_HEADER = "content-length:";
 
-    private final String name;
-    private final ServerSocket listening;
+    private final String endpointId;
+    private final ServerSocket serverSocket;
     private final Queue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
-    private final Queue<Socket> open = new ConcurrentLinkedQueue<>();
+    private final Queue<Socket> openSockets = new ConcurrentLinkedQueue<>();
 
-    StandInUpstream(String name) throws IOException {
-        this.name = name;
-        listening = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
+    StandInUpstream(String endpointId) throws IOException {
+        this.endpointId = endpointId;
+        serverSocket = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         StandInThreads.start(this::accept);
     }
 
-    String endpoint() {
-        return "127.0.0.1:" + listening.getLocalPort();
+    String address() {
+        return "127.0.0.1:" + serverSocket.getLocalPort();
     }
 
     List<Arrival> arrivals() {
@@ -41,13 +41,13 @@
 
     private void accept() throws IOException {
         while (true) {
-            Socket socket = listening.accept();
-            open.add(socket);
+            Socket socket = serverSocket.accept();
+            openSockets.add(socket);
             StandInThreads.start(() -> {
                 try {
                     serve(socket);
                 } finally {
-                    open.remove(socket);
+                    openSockets.remove(socket);
                     socket.close();
                 }
             });
@@ -57,46 +57,46 @@
     private void serve(Socket socket) throws IOException {
         socket.setTcpNoDelay(true);
         InputStream in = socket.getInputStream();
-        byte[] body = ("served by " + name).getBytes(StandardCharsets.ISO_8859_1);
+        byte[] body = ("served by " + endpointId).getBytes(StandardCharsets.ISO_8859_1);
         byte[] head = ("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n")
                 .getBytes(StandardCharsets.ISO_8859_1);
-        int first;
-        while ((first = in.read()) >= 0) {
+        int firstByte;
+        while ((firstByte = in.read()) >= 0) {
             long atNanos = System.nanoTime();
-            String id = readRequest(first, in);
-            arrivals.add(new Arrival(name, id, atNanos));
+            String requestId = readRequest(firstByte, in);
+            arrivals.add(new Arrival(endpointId, requestId, atNanos));
             socket.getOutputStream().write(head);
             socket.getOutputStream().write(body);
         }
     }
 
-    private static String readRequest(int first, InputStream in) throws IOException {
-        StringBuilder head = new StringBuilder().append((char) first);
+    private static String readRequest(int firstByte, InputStream in) throws IOException {
+        StringBuilder head = new StringBuilder().append((char) firstByte);
         while (head.indexOf("\r\n\r\n") < 0) {
             int next = in.read();
             if (next < 0) {
-                throw new IOException("request cut short");
+                throw new IOException("connection closed before the end of the request head");
             }
             head.append((char) next);
         }
-        String id = "";
+        String requestId = "";
         int length = 0;
         for (String line : head.toString().lines().toList()) {
-            String lower = line.toLowerCase(Locale.ROOT);
-            if (lower.startsWith(ID_HEADER)) {
-                id = line.substring(ID_HEADER.length()).strip();
-            } else if (lower.startsWith(LENGTH_HEADER)) {
+            String lowerCaseLine = line.toLowerCase(Locale.ROOT);
+            if (lowerCaseLine.startsWith(ID_HEADER)) {
+                requestId = line.substring(ID_HEADER.length()).strip();
+            } else if (lowerCaseLine.startsWith(LENGTH_HEADER)) {
                 length = Integer.parseInt(line.substring(LENGTH_HEADER.length()).strip());
             }
         }
         in.readNBytes(length);
-        return id;
+        return requestId;
     }
 
     @Override
     public void close() throws IOException {
-        listening.close();
-        for (Socket socket : open) {
+        serverSocket.close();
+        for (Socket socket : openSockets) {
             socket.close();
         }
     }
