--- a/src/test/java/loadbalancer/DeployFile.java
+++ b/src/test/java/loadbalancer/DeployFile.java
@@ -13,13 +13,13 @@
     private DeployFile() {}
 
     /** The command that starts a node. */
-    public static String run() throws IOException {
+    public static String runCommand() throws IOException {
         String run = line("run");
         return run.substring(run.indexOf('"') + 1, run.lastIndexOf('"'));
     }
 
     /** The files that hold the decisions. */
-    static List<Path> policy() throws IOException {
+    static List<Path> policyFiles() throws IOException {
         return QUOTED.matcher(line("policy"))
                 .results()
                 .map(file -> Path.of(file.group(1)))
--- a/src/test/java/loadbalancer/DeployTest.java
+++ b/src/test/java/loadbalancer/DeployTest.java
@@ -19,7 +19,7 @@
     /** A node has one core, however many the machine below has: more threads only wake each other. */
     @Test
     void theJvmOfANodeHasOneCompilerThread() throws Exception {
-        String run = DeployFile.run();
+        String run = DeployFile.runCommand();
         String options = run.substring(run.indexOf("java ") + "java ".length(), run.indexOf(" -jar "));
         List<String> command = new ArrayList<>();
         command.add(ProcessHandle.current().info().command().orElseThrow());
@@ -41,7 +41,7 @@
             Set<Path> sources = files.filter(file -> file.toString().endsWith(".java"))
                     .filter(file -> !file.endsWith("package-info.java"))
                     .collect(Collectors.toSet());
-            assertEquals(sources, Set.copyOf(DeployFile.policy()));
+            assertEquals(sources, Set.copyOf(DeployFile.policyFiles()));
         }
     }
 }
--- a/src/test/java/loadbalancer/faultinjection/ProxyProcess.java
+++ b/src/test/java/loadbalancer/faultinjection/ProxyProcess.java
@@ -45,7 +45,7 @@
         this.fleetSize = fleetSize;
         port = freePort();
         configure(discovery);
-        String run = DeployFile.run()
+        String run = DeployFile.runCommand()
                 .replace(JAR_OPTION, "-cp '" + System.getProperty("java.class.path") + "' " + Main.class.getName());
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", run).redirectErrorStream(true);
         builder.environment().put("PROXY_CONFIG", folder.resolve("config.json").toString());
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -91,7 +91,7 @@
         for (int call = 1; call <= 4; call++) {
             ScriptedHttpServer.next(proxy.discovery.requests);
         }
-        ScriptedHttpServer.next(proxy.discovery.ended);
+        ScriptedHttpServer.next(proxy.discovery.closedConnections);
     }
 
     @Test
@@ -137,14 +137,14 @@
             assertEquals("43 changes 1", ScriptedHttpServer.next(recorded.events));
             assertEquals(
                     hedged,
-                    ScriptedHttpServer.next(proxy.discovery.ended),
+                    ScriptedHttpServer.next(proxy.discovery.closedConnections),
                     "the pending call is closed because the watch has received a message");
             ScriptedHttpServer.Peer next = ScriptedHttpServer.next(proxy.discovery.peers);
             next.write(ProxyFixture.chunk(ProxyFixture.list(44, false, RecordedDiscovery.ENTRY) + "\n"));
             assertEquals("44 changes 1", ScriptedHttpServer.next(recorded.events));
             assertEquals(
                     unresponsive,
-                    ScriptedHttpServer.next(proxy.discovery.ended),
+                    ScriptedHttpServer.next(proxy.discovery.closedConnections),
                     "the previous watch is closed because a newer call has become the watch");
         }
     }
@@ -164,7 +164,7 @@
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
                 ScriptedHttpServer discovery = new ScriptedHttpServer((request, peer) -> peer.write(
                         calls.getAndIncrement() == 0
-                                ? HttpMessages.answer("503 Busy", "", "")
+                                ? HttpMessages.response("503 Busy", "", "")
                                 : ProxyFixture.watchResponseHead()
                                         + ProxyFixture.chunk(
                                                 ProxyFixture.list(2, true, "s0=" + upstream.endpoint() + "=Ready")
@@ -190,7 +190,7 @@
                     "/discovery/hosts?watch=1",
                     ScriptedHttpServer.next(moved.requests).path());
             assertEquals("7 complete 1", ScriptedHttpServer.next(recorded.events));
-            ScriptedHttpServer.next(proxy.discovery.ended);
+            ScriptedHttpServer.next(proxy.discovery.closedConnections);
             // A move to the same address keeps the watch open. The next call goes to the new address too.
             proxy.loop.execute(() -> recorded.client.moveTo(newAddress, new SystemClock().nowUs()));
             ScriptedHttpServer.next(moved.peers).reset();
@@ -198,8 +198,8 @@
             assertEquals(
                     "/discovery/hosts?watch=1&after=7",
                     ScriptedHttpServer.next(moved.requests).path());
-            assertEquals(2, moved.connections.get());
-            assertEquals(1, proxy.discovery.connections.get());
+            assertEquals(2, moved.acceptedCount.get());
+            assertEquals(1, proxy.discovery.acceptedCount.get());
         }
     }
 
@@ -238,7 +238,7 @@
             assertEquals(
                     "/discovery/hosts?watch=1&after=2",
                     ScriptedHttpServer.next(agent.requests).path());
-            assertEquals(0, draining.connections.get());
+            assertEquals(0, draining.acceptedCount.get());
         }
     }
 
@@ -254,7 +254,7 @@
             HttpMessages.Message rejection = proxy.ask(HttpMessages.page("/api/p", "t", "5000m"));
             assertEquals(503, rejection.status());
             assertEquals("0.25", rejection.headers().get("retry-after"));
-            assertEquals(0, upstream.connections.get());
+            assertEquals(0, upstream.acceptedCount.get());
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/discovery/EndpointListFormatTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/EndpointListFormatTest.java
@@ -92,7 +92,7 @@
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             ScriptedHttpServer.next(proxy.discovery.peers).write(ProxyFixture.chunk(list + "\n"));
             assertEquals(RecordedDiscovery.CALL_ENDED, ScriptedHttpServer.next(recorded.events));
-            ScriptedHttpServer.next(proxy.discovery.ended);
+            ScriptedHttpServer.next(proxy.discovery.closedConnections);
         }
     }
 
--- a/src/test/java/loadbalancer/proxy/downstream/ClientDisconnectTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ClientDisconnectTest.java
@@ -20,7 +20,7 @@
             ProxyFixture.write(client, HttpMessages.page("/api/x", "t", "5000m"));
             ScriptedHttpServer.next(upstream.requests);
             client.close();
-            ScriptedHttpServer.next(upstream.ended);
+            ScriptedHttpServer.next(upstream.closedConnections);
         }
     }
 
@@ -39,7 +39,7 @@
             proxy.awaitPriorInputRead();
             client.close();
             // The open request is abandoned at once, and the pipelined one is never forwarded.
-            ScriptedHttpServer.next(upstream.ended);
+            ScriptedHttpServer.next(upstream.closedConnections);
             assertEquals(
                     200,
                     proxy.ask(HttpMessages.page("/api/x", "later", "5000m")).status());
--- a/src/test/java/loadbalancer/proxy/downstream/ConnectionDrainingTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ConnectionDrainingTest.java
@@ -27,14 +27,14 @@
         CountDownLatch respond = new CountDownLatch(1);
         try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(respond, "late");
                 ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
-            assertEquals(200, proxy.ask(HttpMessages.UP).status());
+            assertEquals(200, proxy.ask(HttpMessages.READINESS_REQUEST).status());
             Socket client = proxy.connect();
             Socket idle = proxy.connect();
             ProxyFixture.write(client, HttpMessages.page("/api/x", "t", "5000m"));
             ScriptedHttpServer.next(upstream.requests);
             CountDownLatch closed = new CountDownLatch(1);
             proxy.node.beginGracefulShutdown(new ShutdownSchedule(600_000, 20_000_000), closed::countDown);
-            HttpMessages.Message up = proxy.ask(HttpMessages.UP);
+            HttpMessages.Message up = proxy.ask(HttpMessages.READINESS_REQUEST);
             assertEquals(503, up.status());
             assertEquals("close", up.headers().get("connection"));
             // The proxy closes idle connections once it accepts no new ones. Open requests are still served.
@@ -122,7 +122,7 @@
             CountDownLatch closed = new CountDownLatch(1);
             proxy.node.beginGracefulShutdown(new ShutdownSchedule(600_000, 700_000), closed::countDown);
             assertEquals(504, HttpMessages.read(client.getInputStream()).status());
-            ScriptedHttpServer.next(upstream.ended);
+            ScriptedHttpServer.next(upstream.closedConnections);
             assertTrue(closed.await(20, TimeUnit.SECONDS));
         }
     }
--- a/src/test/java/loadbalancer/proxy/downstream/DownstreamServerTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/DownstreamServerTest.java
@@ -26,7 +26,7 @@
             assertEquals(200, response.status());
             assertEquals("proof", response.body());
             HttpMessages.Message sent = ScriptedHttpServer.next(upstream.requests);
-            assertEquals("POST /api/7f3a?x=1&y=%20 HTTP/1.1", sent.start());
+            assertEquals("POST /api/7f3a?x=1&y=%20 HTTP/1.1", sent.startLine());
             assertEquals("9b1f", sent.headers().get("x-txn"));
             assertEquals("5c0f", sent.headers().get("idempotency-key"));
             assertEquals("body", sent.body());
@@ -57,7 +57,7 @@
                         200,
                         ProxyFixture.ask(client, HttpMessages.page("t" + i)).status());
             }
-            assertEquals(1, upstream.connections.get(), "upstream connections");
+            assertEquals(1, upstream.acceptedCount.get(), "upstream connections");
         }
     }
 
@@ -72,7 +72,7 @@
             assertEquals(400, proxy.ask(HttpMessages.order("same", "5000m")).status());
             respond.countDown();
             assertEquals(200, HttpMessages.read(first.getInputStream()).status());
-            assertEquals(1, upstream.connections.get());
+            assertEquals(1, upstream.acceptedCount.get());
             assertEquals(
                     200, proxy.ask(HttpMessages.order("same", "5000m")).status(), "accepted again after the response");
         }
@@ -81,7 +81,7 @@
     @Test
     void rejectionHasRetryAfterAndKeepsTheConnection() throws Exception {
         try (ScriptedHttpServer upstream = new ScriptedHttpServer(
-                        (request, peer) -> peer.write(HttpMessages.answer("503 Busy", "X-Turned-Away: 1\r\n", "")));
+                        (request, peer) -> peer.write(HttpMessages.response("503 Busy", "X-Turned-Away: 1\r\n", "")));
                 ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             HttpMessages.Message response = proxy.ask(HttpMessages.order("t", "300m"));
             assertEquals(503, response.status());
--- a/src/test/java/loadbalancer/proxy/downstream/InvalidRequestTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/InvalidRequestTest.java
@@ -39,7 +39,7 @@
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
                 ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             assertEquals(400, proxy.ask(lines.replace("|", "\r\n") + "\r\n\r\n").status());
-            assertEquals(0, upstream.connections.get());
+            assertEquals(0, upstream.acceptedCount.get());
             assertEquals(200, proxy.ask(HttpMessages.page("next")).status(), "the proxy still serves requests");
         }
     }
@@ -50,7 +50,7 @@
                 ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             assertEquals(
                     404, proxy.ask(HttpMessages.page("/apis/x", "t", "400m")).status());
-            assertEquals(0, upstream.connections.get());
+            assertEquals(0, upstream.acceptedCount.get());
         }
     }
 
@@ -75,7 +75,7 @@
             ProxyFixture.write(client, HttpMessages.order("t", "4000m", "a".repeat(8_000_000)));
             assertEquals(413, HttpMessages.read(client.getInputStream()).status());
             assertEquals(-1, client.getInputStream().read());
-            assertEquals(0, upstream.connections.get());
+            assertEquals(0, upstream.acceptedCount.get());
         }
     }
 
@@ -107,7 +107,7 @@
                             .replace("ab", "0\r\n\r\n" + HttpMessages.page("hidden")));
             assertEquals(400, HttpMessages.read(client.getInputStream()).status());
             assertEquals(-1, client.getInputStream().read());
-            assertEquals(0, upstream.connections.get());
+            assertEquals(0, upstream.acceptedCount.get());
         }
     }
 
@@ -119,7 +119,7 @@
             ProxyFixture.write(client, HttpMessages.page("/api/p", "t", "soon") + HttpMessages.page("u"));
             assertEquals(400, HttpMessages.read(client.getInputStream()).status());
             assertEquals(-1, client.getInputStream().read());
-            assertEquals(0, upstream.connections.get());
+            assertEquals(0, upstream.acceptedCount.get());
         }
     }
 
--- a/src/test/java/loadbalancer/proxy/lifecycle/ClockStepTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ClockStepTest.java
@@ -34,7 +34,7 @@
             assertEquals(200, site.ask(HttpMessages.order("a", "20000m")).status());
             assertEquals(200, site.ask(HttpMessages.order("b", "20000m")).status());
             assertEquals(
-                    1, server.connections.get(), "upstream connections; the second request must reuse the first one");
+                    1, server.acceptedCount.get(), "upstream connections; the second request must reuse the first one");
         }
     }
 
@@ -54,7 +54,7 @@
             ScriptedHttpServer.Peer before = ScriptedHttpServer.next(server.peers);
             watch.write(ProxyFixture.chunk(
                     withStartTime(list.replace("\"rev\":1", "\"rev\":2"), now + clockOffsetMs) + "\n"));
-            assertEquals(before, ScriptedHttpServer.next(server.ended));
+            assertEquals(before, ScriptedHttpServer.next(server.closedConnections));
             assertEquals(200, site.ask(HttpMessages.order("b", "20000m")).status());
         }
     }
@@ -71,7 +71,7 @@
             assertEquals(200, site.ask(HttpMessages.order("a", "20000m")).status());
             watch.write(ProxyFixture.chunk(list.replace("\"rev\":1", "\"rev\":2") + "\n"));
             assertEquals(200, site.ask(HttpMessages.order("b", "20000m")).status());
-            assertEquals(1, server.connections.get());
+            assertEquals(1, server.acceptedCount.get());
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/lifecycle/FaultMatrixTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/FaultMatrixTest.java
@@ -322,7 +322,7 @@
             boolean isBeingRead = point == Point.PARTLY_WRITTEN || point == Point.RESPONDED;
             if (isBeingRead) {
                 // A thread blocked in a read keeps the socket open until the read returns. Only then is the reset sent.
-                ScriptedHttpServer.next(first.ended);
+                ScriptedHttpServer.next(first.closedConnections);
             }
         }
 
--- a/src/test/java/loadbalancer/proxy/lifecycle/LeaseEnforcementTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/LeaseEnforcementTest.java
@@ -37,13 +37,13 @@
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
                 ProxyFixture site = withHeartbeatAfter(start)) {
             site.startWithoutLease(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"));
-            assertEquals(503, site.ask(HttpMessages.UP).status());
+            assertEquals(503, site.ask(HttpMessages.READINESS_REQUEST).status());
             HttpMessages.Message refusal = site.ask(HttpMessages.order("early", "5000m"));
             assertEquals(503, refusal.status());
             assertEquals("0.25", refusal.headers().get("retry-after"));
             start.countDown();
             site.awaitLease();
-            assertEquals(200, site.ask(HttpMessages.UP).status());
+            assertEquals(200, site.ask(HttpMessages.READINESS_REQUEST).status());
             assertEquals(200, site.ask(HttpMessages.order("late", "5000m")).status());
             assertEquals(1, server.requests.size());
         }
@@ -63,7 +63,7 @@
             clock.advance(LONGER_THAN_LEASE_US);
             assertEquals(
                     503, site.ask(HttpMessages.page("/api/p", "new", "5000m")).status());
-            assertEquals(200, site.ask(HttpMessages.UP).status());
+            assertEquals(200, site.ask(HttpMessages.READINESS_REQUEST).status());
             answered.countDown();
             assertEquals(200, HttpMessages.read(out.getInputStream()).status());
             assertTrue(server.requests.isEmpty());
@@ -80,7 +80,7 @@
         SteppedClock clock = new SteppedClock();
         ScriptedHttpServer.Script failing = (request, peer) -> {
             ScriptedHttpServer.await(failed);
-            peer.write(HttpMessages.answer("500 No", "", ""));
+            peer.write(HttpMessages.response("500 No", "", ""));
         };
         try (ScriptedHttpServer one = new ScriptedHttpServer(failing);
                 ScriptedHttpServer two = new ScriptedHttpServer(failing);
@@ -172,7 +172,7 @@
                             + "\n"));
             assertEquals("stays", HttpMessages.read(client.getInputStream()).body());
             first[0].resume();
-            ScriptedHttpServer.next(draining.ended);
+            ScriptedHttpServer.next(draining.closedConnections);
             assertTrue(draining.requests.isEmpty());
         }
     }
--- a/src/test/java/loadbalancer/proxy/lifecycle/MemoryGrowthTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/MemoryGrowthTest.java
@@ -85,7 +85,7 @@
         try (ScriptedHttpServer server = new ScriptedHttpServer((request, peer) -> {
                     String status = statuses[count[0]++ % statuses.length];
                     peer.write(
-                            HttpMessages.answer(status, status.startsWith("503") ? "X-Turned-Away: 1\r\n" : "", "x"));
+                            HttpMessages.response(status, status.startsWith("503") ? "X-Turned-Away: 1\r\n" : "", "x"));
                 });
                 ProxyFixture site = ProxyFixture.withHeartbeat()) {
             site.startWithCachedList(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"));
--- a/src/test/java/loadbalancer/proxy/lifecycle/ProxyNodeTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ProxyNodeTest.java
@@ -75,7 +75,7 @@
     private static void assertOnlyOneRequestFails(String event, Throwable defect) throws Exception {
         // The endpoint only fails, so that the node itself must respond to the client.
         try (ScriptedHttpServer server =
-                        new ScriptedHttpServer((request, peer) -> peer.write(HttpMessages.answer("500 No", "", "")));
+                        new ScriptedHttpServer((request, peer) -> peer.write(HttpMessages.response("500 No", "", "")));
                 ProxyFixture site = ProxyFixture.withHeartbeat()) {
             site.loadBalancers =
                     actions -> failingOnce(new ServiceQLoadBalancer(site.settings, 7, actions), event, defect);
@@ -146,7 +146,7 @@
      * Java.
      */
     private static List<String> commandIgnoringHangUp() throws Exception {
-        String run = DeployFile.run();
+        String run = DeployFile.runCommand();
         String beforeJava = run.substring(0, run.indexOf("java "));
         return List.of("/bin/sh", "-c", "trap '' HUP; " + beforeJava + "\"$0\" \"$@\"");
     }
@@ -181,7 +181,7 @@
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
                 ScriptedHttpServer discovery = new ScriptedHttpServer((request, peer) -> peer.write(
                         !isDiscoveryUp.get()
-                                ? HttpMessages.answer("503 Down", "", "")
+                                ? HttpMessages.response("503 Down", "", "")
                                 : ProxyFixture.watchResponseHead()
                                         + ProxyFixture.chunk(
                                                 ProxyFixture.list(2, true, "s0=" + server.endpoint() + "=Ready")
@@ -200,7 +200,7 @@
                 InetSocketAddress address = ProxyConfiguration.parseAddress("listen", listen);
                 Socket early = new Socket(address.getAddress(), address.getPort());
                 // Discovery rejects all calls, so the node becomes ready only after a timeout.
-                while (ProxyFixture.ask(early, HttpMessages.UP).status() != 200) {
+                while (ProxyFixture.ask(early, HttpMessages.READINESS_REQUEST).status() != 200) {
                     Thread.onSpinWait();
                 }
                 for (int i = 0; i < 100; i++) {
@@ -255,7 +255,7 @@
                 configure(folder, after.endpoint());
                 sendHangUp(process);
                 ScriptedHttpServer.next(after.requests);
-                ScriptedHttpServer.next(before.ended);
+                ScriptedHttpServer.next(before.closedConnections);
                 Files.writeString(config, "{");
                 sendHangUp(process);
                 awaitLine(lines, "PROXY_CONFIG is not JSON");
@@ -270,7 +270,7 @@
                         143,
                         process.exitValue(),
                         "exit code after a graceful shutdown by SIGTERM, with SIGHUP during the shutdown");
-                assertEquals(1, after.connections.get());
+                assertEquals(1, after.acceptedCount.get());
             } finally {
                 process.destroyForcibly();
             }
--- a/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
@@ -27,7 +27,7 @@
             // In a warm JVM the requests follow so fast that connections awaiting reuse take all of 256 descriptors.
             site.maxDescriptors = 1_024;
             assertTrue(StartupWarmUp.run(site.config(ProxyFixture.list(1, true)), site.loop) > 0);
-            assertEquals(0, site.discovery.connections.get());
+            assertEquals(0, site.discovery.acceptedCount.get());
         }
     }
 
@@ -82,7 +82,7 @@
             assertEquals(200, ProxyFixture.ask(client, HttpMessages.page("t")).status());
             site.node.close();
             assertEquals(-1, client.getInputStream().read());
-            ScriptedHttpServer.next(server.ended);
+            ScriptedHttpServer.next(server.closedConnections);
             site.awaitConnectionsRefused();
         }
     }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamConnectionPoolTest.java
@@ -73,7 +73,7 @@
     @Test
     void orderIsRetriedAfterARejection() throws Exception {
         try (ScriptedHttpServer rejectingServer = new ScriptedHttpServer(
-                        (request, peer) -> peer.write(HttpMessages.answer("504 Over", "X-Turned-Away: 1\r\n", "")));
+                        (request, peer) -> peer.write(HttpMessages.response("504 Over", "X-Turned-Away: 1\r\n", "")));
                 ScriptedHttpServer healthyServer = ScriptedHttpServer.serving("x");
                 ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(rejectingServer, healthyServer)) {
             assertAllServed(proxyFixture);
@@ -133,7 +133,7 @@
                 ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(failingServer)) {
             assertEquals(
                     502, proxyFixture.ask(HttpMessages.order("t", "3600000m")).status());
-            ScriptedHttpServer.next(failingServer.ended);
+            ScriptedHttpServer.next(failingServer.closedConnections);
         }
     }
 
@@ -146,14 +146,14 @@
                     large, proxyFixture.ask(HttpMessages.order("t", "4000m")).body());
             assertEquals(
                     large, proxyFixture.ask(HttpMessages.order("u", "4000m")).body());
-            assertEquals(1, server.connections.get());
+            assertEquals(1, server.acceptedCount.get());
         }
     }
 
     @Test
     void responseIsForwardedDespiteAMalformedLoadReport() throws Exception {
         try (ScriptedHttpServer server = new ScriptedHttpServer((request, peer) ->
-                        peer.write(HttpMessages.answer("200 OK", "X-Pressure: TEXT %%=;{\"\r\n", "good")));
+                        peer.write(HttpMessages.response("200 OK", "X-Pressure: TEXT %%=;{\"\r\n", "good")));
                 ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(server)) {
             assertEquals(
                     "good", proxyFixture.ask(HttpMessages.order("t", "4000m")).body());
@@ -324,7 +324,10 @@
             ProxyFixture.write(client, HttpMessages.order("second", "20000m"));
             ScriptedHttpServer.next(server.requests);
             first.write(HttpMessages.ok("stray"));
-            assertEquals(first, ScriptedHttpServer.next(server.ended), "the surplus response closes its connection");
+            assertEquals(
+                    first,
+                    ScriptedHttpServer.next(server.closedConnections),
+                    "the surplus response closes its connection");
             release.countDown();
             assertEquals("second", HttpMessages.read(client.getInputStream()).body());
         }
@@ -345,7 +348,7 @@
                         proxyFixture
                                 .ask(HttpMessages.page("/api/p", "t" + requestCount++, "4000m"))
                                 .status());
-            } while (server.connections.get() == requestCount && requestCount < 1_000);
+            } while (server.acceptedCount.get() == requestCount && requestCount < 1_000);
             assertTrue(requestCount < 1_000, "no connection was reused");
         }
     }
@@ -359,7 +362,7 @@
             ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(proxyFixture.discovery.peers);
             assertEquals(200, proxyFixture.ask(HttpMessages.page("t")).status());
             watch.write(ProxyFixture.chunk(ProxyFixture.list(2, false, "s0=" + server.endpoint() + "=Terminating")));
-            assertEquals(ScriptedHttpServer.next(server.peers), ScriptedHttpServer.next(server.ended));
+            assertEquals(ScriptedHttpServer.next(server.peers), ScriptedHttpServer.next(server.closedConnections));
         }
     }
 
@@ -368,7 +371,7 @@
         try (ScriptedHttpServer silentServer = new ScriptedHttpServer((request, peer) -> {});
                 ProxyFixture proxyFixture = ProxyFixture.withHeartbeat().start(silentServer)) {
             assertEquals(502, proxyFixture.ask(HttpMessages.order("t", "100m")).status());
-            ScriptedHttpServer.next(silentServer.ended);
+            ScriptedHttpServer.next(silentServer.closedConnections);
         }
     }
 
@@ -384,7 +387,7 @@
             assertEquals(first, ScriptedHttpServer.next(server.peers), "the connection is reused");
             assertEquals(
                     first,
-                    ScriptedHttpServer.next(server.ended),
+                    ScriptedHttpServer.next(server.closedConnections),
                     "the proxy closes the idle connection before the endpoint does");
             assertEquals(200, proxyFixture.ask(HttpMessages.page("c")).status());
             assertNotEquals(first, ScriptedHttpServer.next(server.peers));
@@ -419,7 +422,7 @@
             assertEquals("old", proxyFixture.ask(HttpMessages.page("a")).body());
             watch.write(
                     ProxyFixture.chunk(ProxyFixture.list(2, false, "s0=" + newServer.endpoint() + "=Ready") + "\n"));
-            ScriptedHttpServer.next(oldServer.ended);
+            ScriptedHttpServer.next(oldServer.closedConnections);
             assertEquals("new", proxyFixture.ask(HttpMessages.page("b")).body());
         }
     }
--- a/src/test/java/loadbalancer/proxy/upstream/UpstreamResponseTest.java
+++ b/src/test/java/loadbalancer/proxy/upstream/UpstreamResponseTest.java
@@ -45,7 +45,7 @@
             }
             assertEquals(
                     2,
-                    server.connections.get(),
+                    server.acceptedCount.get(),
                     "each request needs a new connection, because the endpoint has shut down its output");
         }
     }
@@ -177,7 +177,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"200 OK", "500 Error", "503 Busy\r\nX-Turned-Away: 1"})
     void responseBeforeTheRequestIsFullyWrittenIsNotServed(String status) throws Exception {
-        try (ServerSocket earlyServer = startServerThatRespondsToTheFirstByte(HttpMessages.answer(status, "", "x"));
+        try (ServerSocket earlyServer = startServerThatRespondsToTheFirstByte(HttpMessages.response(status, "", "x"));
                 ProxyFixture proxyFixture = ProxyFixture.withHeartbeat()) {
             proxyFixture.settings.maxAttempts = 1;
             proxyFixture.upstreamChannels = () -> new StallingChannel(new CountDownLatch(1));
@@ -207,7 +207,7 @@
             ProxyFixture.write(leavingClient, HttpMessages.order("t", "3600000m"));
             stalled.await();
             leavingClient.close();
-            ScriptedHttpServer.next(server.ended);
+            ScriptedHttpServer.next(server.closedConnections);
             assertTrue(server.requests.isEmpty());
         }
     }
--- a/src/test/java/loadbalancer/testsupport/HttpMessages.java
+++ b/src/test/java/loadbalancer/testsupport/HttpMessages.java
@@ -12,26 +12,26 @@
 /** HTTP/1.1 messages as text, for the clients and upstreams of a proxy under test. */
 public final class HttpMessages {
     /** The request of a readiness check. */
-    public static final String UP = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
+    public static final String READINESS_REQUEST = "GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
 
     private HttpMessages() {}
 
     /**
      * A request or response.
      *
-     * @param start the request line or status line
+     * @param startLine the request line or status line
      * @param headers the headers by their names in lower case
      * @param body the body, which may be empty
      */
-    public record Message(String start, Map<String, String> headers, String body) {
+    public record Message(String startLine, Map<String, String> headers, String body) {
         /** The status code of a response. */
         public int status() {
-            return Integer.parseInt(start.split(" ", 3)[1]);
+            return Integer.parseInt(startLine.split(" ", 3)[1]);
         }
 
         /** The target of a request. */
         public String path() {
-            return start.split(" ", 3)[1];
+            return startLine.split(" ", 3)[1];
         }
     }
 
@@ -70,7 +70,7 @@
 
     /** A response with status 200. */
     public static String ok(String body) {
-        return answer("200 OK", "", body);
+        return response("200 OK", "", body);
     }
 
     /**
@@ -79,7 +79,7 @@
      * @param status the code and reason phrase
      * @param headers further header lines, each with its line end
      */
-    public static String answer(String status, String headers, String body) {
+    public static String response(String status, String headers, String body) {
         return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
--- a/src/test/java/loadbalancer/testsupport/ScriptedHttpServer.java
+++ b/src/test/java/loadbalancer/testsupport/ScriptedHttpServer.java
@@ -20,7 +20,7 @@
     /** Responds to requests. */
     public interface Script {
         /** Writes the response to the peer, or nothing, on the thread of its connection. */
-        void answer(HttpMessages.Message request, Peer peer) throws IOException;
+        void respond(HttpMessages.Message request, Peer peer) throws IOException;
     }
 
     /** A connection that the proxy has opened. */
@@ -43,11 +43,11 @@
     public final BlockingQueue<Peer> peers = new LinkedBlockingQueue<>();
 
     /** Connections that the proxy has closed. */
-    public final BlockingQueue<Peer> ended = new LinkedBlockingQueue<>();
+    public final BlockingQueue<Peer> closedConnections = new LinkedBlockingQueue<>();
     /** Connections in the order in which they were accepted. */
     public final BlockingQueue<Peer> accepted = new LinkedBlockingQueue<>();
     /** The number of connections accepted so far. */
-    public final AtomicInteger connections = new AtomicInteger();
+    public final AtomicInteger acceptedCount = new AtomicInteger();
 
     private final Queue<Socket> sockets = new ConcurrentLinkedQueue<>();
     private final ServerSocket listener;
@@ -98,7 +98,7 @@
             while (true) {
                 Socket socket = listener.accept();
                 sockets.add(socket);
-                connections.incrementAndGet();
+                acceptedCount.incrementAndGet();
                 Peer peer = new Peer(socket);
                 accepted.add(peer);
                 startDaemon(() -> serve(peer));
@@ -113,11 +113,11 @@
             while (true) {
                 HttpMessages.Message request = HttpMessages.read(peer.socket.getInputStream());
                 requests.add(request);
-                script.answer(request, peer);
+                script.respond(request, peer);
                 peers.add(peer);
             }
         } catch (IOException e) {
-            ended.add(peer);
+            closedConnections.add(peer);
         }
     }
 
