--- a/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
@@ -16,7 +16,7 @@
  */
 final class ConfigurationReloader {
     /** The time between two attempts to read an invalid file. */
-    private static final long RETRY_MS = 100;
+    private static final long RETRY_INTERVAL_MS = 100;
     /** The maximum number of attempts after a signal, which last five seconds. */
     private static final int MAX_ATTEMPTS = 50;
 
@@ -26,7 +26,7 @@
     private final ProxyNode node;
     /** The number of received signals. A later signal ends the attempts that an earlier one started. */
     private long signalCount;
-    /** When the earliest signal arrived after which the file has not been read successfully. */
+    /** The arrival time of the first signal since the file was last read successfully. */
     private long pendingSignalAtUs = NO_PENDING_SIGNAL;
 
     private ConfigurationReloader(Map<String, String> env, ProxyNode node) {
@@ -61,11 +61,11 @@
      * takes effect; waiting releases the lock for a later signal.
      */
     private synchronized void reload(long receivedAtUs) throws InterruptedException {
-        long signal = ++signalCount;
+        long signalNumber = ++signalCount;
         pendingSignalAtUs = Math.min(pendingSignalAtUs, receivedAtUs);
         for (int attempt = 1; attempt <= MAX_ATTEMPTS && !tryReload(attempt); attempt++) {
-            wait(RETRY_MS);
-            if (signal != signalCount) {
+            wait(RETRY_INTERVAL_MS);
+            if (signalNumber != signalCount) {
                 return;
             }
         }
--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
@@ -56,7 +56,7 @@
     /** The maximum number of attempts to open the listener. With the interval below, they last two seconds. */
     private static final int MAX_LISTEN_ATTEMPTS = 40;
 
-    private static final long LISTEN_RETRY_MS = 50;
+    private static final long LISTEN_RETRY_INTERVAL_MS = 50;
     /**
      * The time after the start at which a node reports readiness even without a lease. If discovery responds to no
      * node, a front with nodes that reject requests is better than a front without nodes.
@@ -152,8 +152,8 @@
                     }
 
                     @Override
-                    public void onLeaseChanged(long untilUs) {
-                        notifyLeaseChanged(untilUs);
+                    public void onLeaseChanged(long expiresAtUs) {
+                        notifyLeaseChanged(expiresAtUs);
                     }
                 },
                 dependencies.discoveryChannels());
@@ -196,7 +196,7 @@
                             }
                         },
                         "drain"));
-        // Started before the warm-up, because calls to discovery may have to wait before they are served.
+        // Discovery may queue a call, so the first call is sent while the process warms up.
         node.startWithoutListening();
         StartupWarmUp.run(config, loop);
         Future<SocketAddress> listening = node.listen().awaitUninterruptibly();
@@ -281,7 +281,8 @@
             if (opened.isSuccess()) {
                 listening.setSuccess(opened.channel().localAddress());
             } else if (attemptsLeft > 1) {
-                loop.schedule(() -> listen(listening, attemptsLeft - 1), LISTEN_RETRY_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(
+                        () -> listen(listening, attemptsLeft - 1), LISTEN_RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
             } else {
                 listening.setFailure(opened.cause());
             }
@@ -378,11 +379,11 @@
     /**
      * Queues a change of the lease behind the endpoint lists, because a lease applies to the list received before it.
      */
-    private void notifyLeaseChanged(long untilUs) {
+    private void notifyLeaseChanged(long expiresAtUs) {
         events.add(null, () -> {
-            pool.setLeaseEnd(untilUs);
+            pool.setLeaseEnd(expiresAtUs);
             isReady |= pool.isLeaseHeld();
-            loadBalancer.onLeaseChanged(clock.nowUs(), untilUs);
+            loadBalancer.onLeaseChanged(clock.nowUs(), expiresAtUs);
         });
     }
 
@@ -471,20 +472,21 @@
     // ---------------------------------------------------------------- actions of the module
 
     @Override
-    public void startAttempt(long requestId, String endpointId, long untilUs) {
+    public void startAttempt(long requestId, String endpointId, long deadlineUs) {
         InFlightRequest request = inFlight.get(requestId);
-        long deadlineUs = untilUs == 0 ? request.deadlineUs : Math.min(untilUs, request.deadlineUs);
-        Attempt attempt =
-                new Attempt(request, endpointId, deadlineUs, config.settings(), pool, clock, this::onAttemptEnded);
+        // The deadline of the request applies if the module sets none.
+        long attemptDeadlineUs = deadlineUs == 0 ? request.deadlineUs : Math.min(deadlineUs, request.deadlineUs);
+        Attempt attempt = new Attempt(
+                request, endpointId, attemptDeadlineUs, config.settings(), pool, clock, this::onAttemptEnded);
         request.attempts.add(attempt);
         attempt.start(loop);
     }
 
     @Override
-    public void cancelAttempt(long requestId, int attempt) {
+    public void cancelAttempt(long requestId, int attemptNumber) {
         InFlightRequest request = inFlight.get(requestId);
         if (request != null) {
-            request.attempts.get(attempt).cancel();
+            request.attempts.get(attemptNumber).cancel();
         }
     }
 
