--- a/src/test/java/loadbalancer/proxy/lifecycle/ClockStepTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ClockStepTest.java
@@ -26,13 +26,13 @@
     @ValueSource(longs = {-HOUR_MS, -5_000, 5_000, HOUR_MS})
     void endpointIsUsedWhateverItsStartTime(long clockOffsetMs) throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
             // Disables slow start, which other tests cover.
-            site.settings.slowStartUs = 0;
+            fixture.settings.slowStartUs = 0;
             String list = ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready");
-            site.startWithCachedList(withStartTime(list, System.currentTimeMillis() + clockOffsetMs));
-            assertEquals(200, site.ask(HttpMessages.order("a", "20000m")).status());
-            assertEquals(200, site.ask(HttpMessages.order("b", "20000m")).status());
+            fixture.startWithCachedList(withStartTime(list, System.currentTimeMillis() + clockOffsetMs));
+            assertEquals(200, fixture.ask(HttpMessages.order("a", "20000m")).status());
+            assertEquals(200, fixture.ask(HttpMessages.order("b", "20000m")).status());
             assertEquals(
                     1, server.acceptedCount.get(), "upstream connections; the second request must reuse the first one");
         }
@@ -43,34 +43,34 @@
     @ValueSource(longs = {-HOUR_MS, HOUR_MS})
     void changedStartTimeClosesConnectionsToThePreviousProcess(long clockOffsetMs) throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
             // Disables slow start, which other tests cover.
-            site.settings.slowStartUs = 0;
+            fixture.settings.slowStartUs = 0;
             long now = System.currentTimeMillis();
             String list = ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready");
-            site.startWithCachedList(withStartTime(list, now));
-            ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(site.discovery.peers);
-            assertEquals(200, site.ask(HttpMessages.order("a", "20000m")).status());
+            fixture.startWithCachedList(withStartTime(list, now));
+            ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(fixture.discovery.peers);
+            assertEquals(200, fixture.ask(HttpMessages.order("a", "20000m")).status());
             ScriptedHttpServer.Peer before = ScriptedHttpServer.next(server.peers);
             watch.write(ProxyFixture.chunk(
                     withStartTime(list.replace("\"rev\":1", "\"rev\":2"), now + clockOffsetMs) + "\n"));
             assertEquals(before, ScriptedHttpServer.next(server.closedConnections));
-            assertEquals(200, site.ask(HttpMessages.order("b", "20000m")).status());
+            assertEquals(200, fixture.ask(HttpMessages.order("b", "20000m")).status());
         }
     }
 
     @Test
     void unchangedEndpointEntryKeepsConnections() throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
             // Disables slow start, which other tests cover.
-            site.settings.slowStartUs = 0;
+            fixture.settings.slowStartUs = 0;
             String list = withStartTime(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"), HOUR_MS);
-            site.startWithCachedList(list);
-            ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(site.discovery.peers);
-            assertEquals(200, site.ask(HttpMessages.order("a", "20000m")).status());
+            fixture.startWithCachedList(list);
+            ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(fixture.discovery.peers);
+            assertEquals(200, fixture.ask(HttpMessages.order("a", "20000m")).status());
             watch.write(ProxyFixture.chunk(list.replace("\"rev\":1", "\"rev\":2") + "\n"));
-            assertEquals(200, site.ask(HttpMessages.order("b", "20000m")).status());
+            assertEquals(200, fixture.ask(HttpMessages.order("b", "20000m")).status());
             assertEquals(1, server.acceptedCount.get());
         }
     }
--- a/src/test/java/loadbalancer/proxy/lifecycle/DeadlineTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/DeadlineTest.java
@@ -28,18 +28,18 @@
         CountDownLatch first = new CountDownLatch(1);
         SteppedClock clock = new SteppedClock();
         try (ScriptedHttpServer server = ScriptedHttpServer.servingFrom(first, "x");
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.clock = clock;
-            site.start(server);
-            Socket client = site.connect();
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.clock = clock;
+            fixture.start(server);
+            Socket client = fixture.connect();
             ProxyFixture.write(
                     client,
                     HttpMessages.page("/api/p", "first", "100000m") + HttpMessages.page("/api/p", "second", "30000m"));
             ScriptedHttpServer.next(server.requests);
-            site.awaitPriorInputRead();
+            fixture.awaitPriorInputRead();
             clock.advance(20 * SECOND_US);
-            ScriptedHttpServer.next(site.discovery.peers).write(ProxyFixture.chunk("\n"));
-            site.awaitLease();
+            ScriptedHttpServer.next(fixture.discovery.peers).write(ProxyFixture.chunk("\n"));
+            fixture.awaitLease();
             first.countDown();
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
@@ -55,14 +55,14 @@
         CountDownLatch first = new CountDownLatch(1);
         SteppedClock clock = new SteppedClock();
         try (ScriptedHttpServer server = ScriptedHttpServer.servingFrom(first, "x");
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.clock = clock;
-            site.start(server);
-            Socket client = site.connect();
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.clock = clock;
+            fixture.start(server);
+            Socket client = fixture.connect();
             ProxyFixture.write(
                     client, HttpMessages.page("/api/p", "first", "100000m") + HttpMessages.order("second", "10000m"));
             ScriptedHttpServer.next(server.requests);
-            site.awaitPriorInputRead();
+            fixture.awaitPriorInputRead();
             clock.advance(20 * SECOND_US);
             first.countDown();
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
--- a/src/test/java/loadbalancer/proxy/lifecycle/FaultMatrixTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/FaultMatrixTest.java
@@ -80,11 +80,11 @@
     private enum ConcurrentEvent {
         NOTHING,
         SHUTDOWN,
-        RECONFIGURATION,
+        RELOAD,
         DISCOVERY_OUTAGE
     }
 
-    private static final String TXN = "subject";
+    private static final String TRANSACTION_ID = "subject";
     private static final int LATER_REQUESTS = 4;
 
     static Stream<Arguments> cases() {
@@ -143,7 +143,7 @@
                 new ScriptedHttpServer((request, peer) -> peer.write(ProxyFixture.watchResponseHead()
                         + ProxyFixture.chunk(
                                 list(100, "s0=" + first.endpoint() + "=Ready", "s1=" + second.endpoint() + "=Ready"))));
-        private final ProxyFixture site = ProxyFixture.withHeartbeat();
+        private final ProxyFixture fixture = ProxyFixture.withHeartbeat();
         private ScriptedHttpServer.Peer watch;
         private Socket client;
 
@@ -159,14 +159,16 @@
         }
 
         private String request() {
-            return isUnsafe ? HttpMessages.order(TXN, "30000m") : HttpMessages.page("/api/p", TXN, "30000m");
+            return isUnsafe
+                    ? HttpMessages.order(TRANSACTION_ID, "30000m")
+                    : HttpMessages.page("/api/p", TRANSACTION_ID, "30000m");
         }
 
         // ------------------------------------------------------------ progress to the point
 
         private void respondInSteps(HttpMessages.Message request, ScriptedHttpServer.Peer peer) throws IOException {
             String body = "first " + request.headers().get("x-txn");
-            if (!request.headers().get("x-txn").equals(TXN)) {
+            if (!request.headers().get("x-txn").equals(TRANSACTION_ID)) {
                 peer.write(HttpMessages.ok(body));
                 return;
             }
@@ -221,15 +223,15 @@
         }
 
         private void start() throws Exception {
-            site.loadBalancers = actions -> intercepting(new ServiceQLoadBalancer(site.settings, 7, actions));
+            fixture.loadBalancers = actions -> intercepting(new ServiceQLoadBalancer(fixture.settings, 7, actions));
             if (point == Point.PARTLY_WRITTEN) {
-                site.upstreamChannels = this::stallingFirst;
+                fixture.upstreamChannels = this::stallingFirst;
             }
             // The second endpoint becomes ready only after the request has been sent to the first one.
-            site.startWithCachedList(
+            fixture.startWithCachedList(
                     list(1, "s0=" + first.endpoint() + "=Ready", "s1=" + second.endpoint() + "=Terminating"));
             ScriptedHttpServer.next(lists);
-            watch = ScriptedHttpServer.next(site.discovery.peers);
+            watch = ScriptedHttpServer.next(fixture.discovery.peers);
         }
 
         /** Returns a channel that stalls after a part of the request for the first connection, then normal channels. */
@@ -243,18 +245,18 @@
         }
 
         private void advanceToPoint() throws Exception {
-            CountDownLatch loopBlock = point == Point.BEFORE_ACCEPT ? BacklogTest.blockEventLoop(site.loop) : null;
-            client = site.connect();
+            CountDownLatch loopBlock = point == Point.BEFORE_ACCEPT ? BacklogTest.blockEventLoop(fixture.loop) : null;
+            client = fixture.connect();
             switch (point) {
                 case BEFORE_ACCEPT -> {
                     ProxyFixture.write(client, request());
                     injectClientFault();
                     loopBlock.countDown();
                 }
-                case ACCEPTED -> site.awaitPriorInputRead();
+                case ACCEPTED -> fixture.awaitPriorInputRead();
                 case PARTLY_READ -> {
                     ProxyFixture.write(client, request().substring(0, 40));
-                    site.awaitPriorInputRead();
+                    fixture.awaitPriorInputRead();
                 }
                 case RESPONDED -> {
                     ProxyFixture.write(client, request());
@@ -328,9 +330,9 @@
 
         private void awaitFaultDetected() throws Exception {
             if (fault.isClientFault()) {
-                site.awaitCounts(counts -> counts.clients() == 0);
+                fixture.awaitCounts(counts -> counts.clients() == 0);
             } else if (fault.isEndpointFault()) {
-                site.awaitPriorInputRead();
+                fixture.awaitPriorInputRead();
             }
         }
 
@@ -354,19 +356,19 @@
 
         private void startConcurrentEvent() throws Exception {
             switch (concurrentEvent) {
-                case SHUTDOWN -> site.node.beginGracefulShutdown(new ShutdownSchedule(1, 25_000_000), () -> {});
-                case RECONFIGURATION ->
-                    site.node.reload(
+                case SHUTDOWN -> fixture.node.beginGracefulShutdown(new ShutdownSchedule(1, 25_000_000), () -> {});
+                case RELOAD ->
+                    fixture.node.reload(
                             new ProxyConfiguration(
-                                    site.address(),
+                                    fixture.address(),
                                     ProxyConfiguration.parseAddress("discovery", newDiscovery.endpoint()),
                                     7,
-                                    site.maxDescriptors,
-                                    site.upstreamIdleTimeoutUs,
+                                    fixture.maxDescriptors,
+                                    fixture.upstreamIdleTimeoutUs,
                                     null,
-                                    site.settings),
-                            site.node.nowUs());
-                case DISCOVERY_OUTAGE -> site.discovery.stop();
+                                    fixture.settings),
+                            fixture.node.nowUs());
+                case DISCOVERY_OUTAGE -> fixture.discovery.stop();
                 default -> {}
             }
         }
@@ -392,7 +394,7 @@
             }
             assertNothingNewSentToUnavailableEndpoint();
             client.close();
-            site.assertAllResourcesReleased();
+            fixture.assertAllResourcesReleased();
             assertTrue(
                     !isUnsafe || executionCount() <= 1,
                     "non-idempotent request was executed " + executionCount() + " times");
@@ -401,7 +403,7 @@
         private long executionCount() {
             return Stream.of(first, second)
                     .flatMap(server -> server.requests.stream())
-                    .filter(request -> TXN.equals(request.headers().get("x-txn")))
+                    .filter(request -> TRANSACTION_ID.equals(request.headers().get("x-txn")))
                     .count();
         }
 
@@ -419,7 +421,7 @@
                 assertEquals(502, response.status());
             } else {
                 assertEquals(200, response.status());
-                assertTrue(response.body().endsWith(" " + TXN), response.body());
+                assertTrue(response.body().endsWith(" " + TRANSACTION_ID), response.body());
             }
             if (concurrentEvent != ConcurrentEvent.SHUTDOWN) {
                 // A second response, or bytes after the first one, would be read as the response to this request.
@@ -442,7 +444,8 @@
             if (concurrentEvent != ConcurrentEvent.SHUTDOWN) {
                 assertEquals(
                         200,
-                        site.ask(HttpMessages.page("/api/p", "later", "20000m")).status());
+                        fixture.ask(HttpMessages.page("/api/p", "later", "20000m"))
+                                .status());
             }
             if (point.isBefore(Point.WRITTEN)) {
                 assertEquals(0, executionCount());
@@ -462,7 +465,8 @@
             for (int i = 0; i < LATER_REQUESTS; i++) {
                 assertEquals(
                         "second later",
-                        site.ask(HttpMessages.page("/api/p", "later", "20000m")).body());
+                        fixture.ask(HttpMessages.page("/api/p", "later", "20000m"))
+                                .body());
             }
             assertEquals(before, first.requests.size());
         }
@@ -470,7 +474,7 @@
         @Override
         public void close() throws IOException {
             release.countDown();
-            site.close();
+            fixture.close();
             first.close();
             second.close();
             newDiscovery.close();
--- a/src/test/java/loadbalancer/proxy/lifecycle/LeaseEnforcementTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/LeaseEnforcementTest.java
@@ -35,16 +35,16 @@
     void nodeIsNotReadyAndRejectsRequestsUntilDiscoveryResponds() throws Exception {
         CountDownLatch start = new CountDownLatch(1);
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = withHeartbeatAfter(start)) {
-            site.startWithoutLease(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"));
-            assertEquals(503, site.ask(HttpMessages.READINESS_REQUEST).status());
-            HttpMessages.Message refusal = site.ask(HttpMessages.order("early", "5000m"));
-            assertEquals(503, refusal.status());
-            assertEquals("0.25", refusal.headers().get("retry-after"));
+                ProxyFixture fixture = withHeartbeatAfter(start)) {
+            fixture.startWithoutLease(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"));
+            assertEquals(503, fixture.ask(HttpMessages.READINESS_REQUEST).status());
+            HttpMessages.Message rejection = fixture.ask(HttpMessages.order("early", "5000m"));
+            assertEquals(503, rejection.status());
+            assertEquals("0.25", rejection.headers().get("retry-after"));
             start.countDown();
-            site.awaitLease();
-            assertEquals(200, site.ask(HttpMessages.READINESS_REQUEST).status());
-            assertEquals(200, site.ask(HttpMessages.order("late", "5000m")).status());
+            fixture.awaitLease();
+            assertEquals(200, fixture.ask(HttpMessages.READINESS_REQUEST).status());
+            assertEquals(200, fixture.ask(HttpMessages.order("late", "5000m")).status());
             assertEquals(1, server.requests.size());
         }
     }
@@ -54,23 +54,25 @@
         CountDownLatch answered = new CountDownLatch(1);
         SteppedClock clock = new SteppedClock();
         try (ScriptedHttpServer server = ScriptedHttpServer.servingFrom(answered, "x");
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.clock = clock;
-            site.start(server);
-            Socket out = site.connect();
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.clock = clock;
+            fixture.start(server);
+            Socket out = fixture.connect();
             ProxyFixture.write(out, HttpMessages.order("out", "50000m"));
             ScriptedHttpServer.next(server.requests);
             clock.advance(LONGER_THAN_LEASE_US);
             assertEquals(
-                    503, site.ask(HttpMessages.page("/api/p", "new", "5000m")).status());
-            assertEquals(200, site.ask(HttpMessages.READINESS_REQUEST).status());
+                    503,
+                    fixture.ask(HttpMessages.page("/api/p", "new", "5000m")).status());
+            assertEquals(200, fixture.ask(HttpMessages.READINESS_REQUEST).status());
             answered.countDown();
             assertEquals(200, HttpMessages.read(out.getInputStream()).status());
             assertTrue(server.requests.isEmpty());
-            ScriptedHttpServer.next(site.discovery.peers).write(ProxyFixture.chunk("\n"));
-            site.awaitLease();
+            ScriptedHttpServer.next(fixture.discovery.peers).write(ProxyFixture.chunk("\n"));
+            fixture.awaitLease();
             assertEquals(
-                    200, site.ask(HttpMessages.page("/api/p", "again", "5000m")).status());
+                    200,
+                    fixture.ask(HttpMessages.page("/api/p", "again", "5000m")).status());
         }
     }
 
@@ -84,10 +86,10 @@
         };
         try (ScriptedHttpServer one = new ScriptedHttpServer(failing);
                 ScriptedHttpServer two = new ScriptedHttpServer(failing);
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.clock = clock;
-            site.start(one, two);
-            Socket client = site.connect();
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.clock = clock;
+            fixture.start(one, two);
+            Socket client = fixture.connect();
             ProxyFixture.write(client, HttpMessages.page("/api/p", "t", "50000m"));
             while (one.requests.isEmpty() && two.requests.isEmpty()) {
                 Thread.onSpinWait();
@@ -103,19 +105,19 @@
     void requestThatAwaitsAConnectionAtLeaseExpiryIsRejectedAndNeverSent() throws Exception {
         SteppedClock clock = new SteppedClock();
         try (HangingListener hanging = new HangingListener();
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.clock = clock;
-            site.settings.connectTimeoutUs = 20_000_000;
-            site.startWithCachedList(ProxyFixture.list(1, true, "s0=" + hanging.endpoint() + "=Ready"));
-            Socket client = site.connect();
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.clock = clock;
+            fixture.settings.connectTimeoutUs = 20_000_000;
+            fixture.startWithCachedList(ProxyFixture.list(1, true, "s0=" + hanging.endpoint() + "=Ready"));
+            Socket client = fixture.connect();
             ProxyFixture.write(client, HttpMessages.order("t", "50000m"));
-            site.awaitCounts(counts -> counts.exchanges() == 1);
+            fixture.awaitCounts(counts -> counts.exchanges() == 1);
             clock.advance(LONGER_THAN_LEASE_US);
             hanging.freeBacklog();
             try (Socket dialed = hanging.accept()) {
                 assertEquals(503, HttpMessages.read(client.getInputStream()).status());
-                site.closeClients();
-                site.loop.submit(site.node::close).get();
+                fixture.closeClients();
+                fixture.loop.submit(fixture.node::close).get();
                 assertEquals(-1, dialed.getInputStream().read());
             }
         }
@@ -151,19 +153,19 @@
         FullChannel[] first = new FullChannel[1];
         try (ScriptedHttpServer draining = ScriptedHttpServer.serving("drains");
                 ScriptedHttpServer ready = ScriptedHttpServer.serving("stays");
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.upstreamChannels = () -> {
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.upstreamChannels = () -> {
                 if (first[0] == null) {
                     first[0] = new FullChannel(full);
                     return first[0];
                 }
                 return new UpstreamChannel();
             };
-            site.start(draining);
-            Socket client = site.connect();
+            fixture.start(draining);
+            Socket client = fixture.connect();
             ProxyFixture.write(client, HttpMessages.order("t", "20000m"));
             full.await();
-            ScriptedHttpServer.next(site.discovery.peers)
+            ScriptedHttpServer.next(fixture.discovery.peers)
                     .write(ProxyFixture.chunk(ProxyFixture.list(
                                     2,
                                     false,
--- a/src/test/java/loadbalancer/proxy/lifecycle/MemoryGrowthTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/MemoryGrowthTest.java
@@ -87,9 +87,9 @@
                     peer.write(
                             HttpMessages.response(status, status.startsWith("503") ? "X-Turned-Away: 1\r\n" : "", "x"));
                 });
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.startWithCachedList(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"));
-            ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(site.discovery.peers);
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.startWithCachedList(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"));
+            ScriptedHttpServer.Peer watch = ScriptedHttpServer.next(fixture.discovery.peers);
             Set<Integer> seen = new HashSet<>();
             for (int i = 1; i <= ROUNDS; i++) {
                 // Replaces the endpoint by one with a new id and the same address.
@@ -99,7 +99,7 @@
                                 "s" + i + "=" + server.endpoint() + "=Ready",
                                 "s" + (i - 1) + "=" + server.endpoint() + "=Gone")
                         + "\n"));
-                try (Socket client = site.connect()) {
+                try (Socket client = fixture.connect()) {
                     seen.add(ProxyFixture.ask(client, HttpMessages.page("/api/" + i, "p" + i, "2000m"))
                             .status());
                     seen.add(ProxyFixture.ask(client, HttpMessages.order("o" + i, "300m"))
@@ -114,7 +114,7 @@
             Map<String, Integer> left;
             long until = System.nanoTime() + 20_000_000_000L;
             do {
-                left = site.loop.submit(() -> collectionSizes(site.node)).get();
+                left = fixture.loop.submit(() -> collectionSizes(fixture.node)).get();
             } while (!left.isEmpty() && System.nanoTime() < until);
             assertEquals(Map.of(), left);
         }
--- a/src/test/java/loadbalancer/proxy/lifecycle/ProxyFixture.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ProxyFixture.java
@@ -77,8 +77,9 @@
         settings.endpointListPolled = true;
     }
 
-    private static RequestClass requestClass(String name, Idempotency repeat, DeduplicationScope group) {
-        return new RequestClass(name, 1_000_000, 0, 5_000_000, 1, 0, repeat, group, 1_200_000, false);
+    private static RequestClass requestClass(
+            String name, Idempotency idempotency, DeduplicationScope deduplicationScope) {
+        return new RequestClass(name, 1_000_000, 0, 5_000_000, 1, 0, idempotency, deduplicationScope, 1_200_000, false);
     }
 
     /**
@@ -104,30 +105,30 @@
     }
 
     /** Returns an endpoint list in JSON. Entries have the format {@code id=address=state}. */
-    public static String list(int rev, boolean all, String... entries) {
+    public static String list(int version, boolean isComplete, String... entries) {
         StringBuilder targets = new StringBuilder();
         for (String entry : entries) {
-            String[] parts = entry.split("=", 3);
+            String[] fields = entry.split("=", 3);
             targets.append(targets.isEmpty() ? "" : ",")
                     .append("{\"uid\":\"")
-                    .append(parts[0])
+                    .append(fields[0])
                     .append("\",\"endpoint\":\"")
-                    .append(parts[1])
+                    .append(fields[1])
                     .append("\",\"az\":\"here\",\"pod_group\":0,\"state\":\"")
-                    .append(parts[2])
+                    .append(fields[2])
                     .append("\",\"capacity_hint\":1.0,\"boot_ms\":0}");
         }
-        return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + targets + "]}";
+        return "{\"rev\":" + version + ",\"all\":" + isComplete + ",\"targets\":[" + targets + "]}";
     }
 
-    public ProxyConfiguration config(String known) throws Exception {
+    public ProxyConfiguration config(String cachedList) throws Exception {
         return new ProxyConfiguration(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 ProxyConfiguration.parseAddress("discovery", discovery.endpoint()),
                 7,
                 maxDescriptors,
                 upstreamIdleTimeoutUs,
-                new EndpointListDecoder(settings.zones).decode(new ObjectMapper().readTree(known)),
+                new EndpointListDecoder(settings.zones).decode(new ObjectMapper().readTree(cachedList)),
                 settings);
     }
 
@@ -146,8 +147,8 @@
     }
 
     /** Starts the node with a cached endpoint list, and waits for its lease. */
-    public ProxyFixture startWithCachedList(String known) throws Exception {
-        startWithoutLease(known);
+    public ProxyFixture startWithCachedList(String cachedList) throws Exception {
+        startWithoutLease(cachedList);
         awaitLease();
         return this;
     }
@@ -161,8 +162,8 @@
     }
 
     /** Starts the node with a cached endpoint list, and waits for the listener only. */
-    public ProxyFixture startWithoutLease(String known) throws Exception {
-        node = new ProxyNode(config(known), loop, dependencies());
+    public ProxyFixture startWithoutLease(String cachedList) throws Exception {
+        node = new ProxyNode(config(cachedList), loop, dependencies());
         address = (InetSocketAddress) node.start().sync().getNow();
         return this;
     }
--- a/src/test/java/loadbalancer/proxy/lifecycle/ProxyNodeTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ProxyNodeTest.java
@@ -76,12 +76,12 @@
         // The endpoint only fails, so that the node itself must respond to the client.
         try (ScriptedHttpServer server =
                         new ScriptedHttpServer((request, peer) -> peer.write(HttpMessages.response("500 No", "", "")));
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.loadBalancers =
-                    actions -> failingOnce(new ServiceQLoadBalancer(site.settings, 7, actions), event, defect);
-            site.start(server);
-            assertEquals(500, site.ask(HttpMessages.order("first", "4000m")).status());
-            assertEquals(502, site.ask(HttpMessages.order("second", "4000m")).status());
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.loadBalancers =
+                    actions -> failingOnce(new ServiceQLoadBalancer(fixture.settings, 7, actions), event, defect);
+            fixture.start(server);
+            assertEquals(500, fixture.ask(HttpMessages.order("first", "4000m")).status());
+            assertEquals(502, fixture.ask(HttpMessages.order("second", "4000m")).status());
         }
     }
 
@@ -304,15 +304,15 @@
     void listenerIsOpenedOnceADescriptorIsFree() throws Exception {
         AtomicInteger attempts = new AtomicInteger();
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.listeners = () -> {
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.listeners = () -> {
                 if (attempts.getAndIncrement() < 2) {
                     throw new ChannelException("Failed to open a socket, for the test");
                 }
                 return new ClientListener();
             };
-            site.start(server);
-            assertEquals(200, site.ask(HttpMessages.page("t")).status());
+            fixture.start(server);
+            assertEquals(200, fixture.ask(HttpMessages.page("t")).status());
             assertEquals(3, attempts.get());
         }
     }
--- a/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
@@ -23,29 +23,29 @@
 
     @Test
     void requestsAreServedWithoutConnectingToDiscovery() throws Exception {
-        try (ProxyFixture site = ProxyFixture.withHeartbeat()) {
+        try (ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
             // In a warm JVM the requests follow so fast that connections awaiting reuse take all of 256 descriptors.
-            site.maxDescriptors = 1_024;
-            assertTrue(StartupWarmUp.run(site.config(ProxyFixture.list(1, true)), site.loop) > 0);
-            assertEquals(0, site.discovery.acceptedCount.get());
+            fixture.maxDescriptors = 1_024;
+            assertTrue(StartupWarmUp.run(fixture.config(ProxyFixture.list(1, true)), fixture.loop) > 0);
+            assertEquals(0, fixture.discovery.acceptedCount.get());
         }
     }
 
     @Test
     void warmUpIsCompletedWithLittleCpu() throws Exception {
-        try (ProxyFixture site = ProxyFixture.withHeartbeat()) {
+        try (ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
             // Simulates a fraction of a core: each iteration of the event loop takes 3 ms longer.
             AtomicBoolean isOver = new AtomicBoolean();
-            site.loop.execute(new Runnable() {
+            fixture.loop.execute(new Runnable() {
                 @Override
                 public void run() {
                     LockSupport.parkNanos(3_000_000);
                     if (!isOver.get()) {
-                        site.loop.schedule(this, 1, TimeUnit.NANOSECONDS);
+                        fixture.loop.schedule(this, 1, TimeUnit.NANOSECONDS);
                     }
                 }
             });
-            long served = StartupWarmUp.run(site.config(ProxyFixture.list(1, true)), site.loop);
+            long served = StartupWarmUp.run(fixture.config(ProxyFixture.list(1, true)), fixture.loop);
             isOver.set(true);
             assertEquals(StartupWarmUp.MAX_REQUESTS, served);
         }
@@ -57,12 +57,12 @@
      */
     @Test
     void nodeOfALargeFleetServesFewerWarmUpRequests() throws Exception {
-        try (ProxyFixture site = ProxyFixture.withHeartbeat()) {
-            site.settings.tenants.set(0, new Tenant("org", 1_400));
-            site.settings.instances = 4;
-            assertEquals(StartupWarmUp.MAX_REQUESTS, StartupWarmUp.requestCount(site.settings));
-            site.settings.instances = 14;
-            assertEquals(100, StartupWarmUp.run(site.config(ProxyFixture.list(1, true)), site.loop));
+        try (ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.settings.tenants.set(0, new Tenant("org", 1_400));
+            fixture.settings.instances = 4;
+            assertEquals(StartupWarmUp.MAX_REQUESTS, StartupWarmUp.requestCount(fixture.settings));
+            fixture.settings.instances = 14;
+            assertEquals(100, StartupWarmUp.run(fixture.config(ProxyFixture.list(1, true)), fixture.loop));
         }
     }
 
@@ -77,13 +77,13 @@
     @Test
     void closedNodeLeavesNoConnectionOrListenerOpen() throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.withHeartbeat().start(server)) {
-            Socket client = site.connect();
+                ProxyFixture fixture = ProxyFixture.withHeartbeat().start(server)) {
+            Socket client = fixture.connect();
             assertEquals(200, ProxyFixture.ask(client, HttpMessages.page("t")).status());
-            site.node.close();
+            fixture.node.close();
             assertEquals(-1, client.getInputStream().read());
             ScriptedHttpServer.next(server.closedConnections);
-            site.awaitConnectionsRefused();
+            fixture.awaitConnectionsRefused();
         }
     }
 }
