--- a/src/test/java/loadbalancer/DeployFile.java
+++ b/src/test/java/loadbalancer/DeployFile.java
@@ -6,27 +6,27 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** The entries of the deploy file that tests need. */
+/** Reads the entries of the deploy file that tests use. */
 public final class DeployFile {
     private static final Pattern QUOTED = Pattern.compile("\"([^\"]*)\"");
 
     private DeployFile() {}
 
-    /** The command that starts a node. */
+    /** Returns the command that starts a node. */
     public static String runCommand() throws IOException {
-        String run = line("run");
-        return run.substring(run.indexOf('"') + 1, run.lastIndexOf('"'));
+        String entry = findEntry("run");
+        return entry.substring(entry.indexOf('"') + 1, entry.lastIndexOf('"'));
     }
 
-    /** The files that hold the decisions. */
+    /** Returns the source files of the decision module. */
     static List<Path> policyFiles() throws IOException {
-        return QUOTED.matcher(line("policy"))
+        return QUOTED.matcher(findEntry("policy"))
                 .results()
                 .map(file -> Path.of(file.group(1)))
                 .toList();
     }
 
-    private static String line(String key) throws IOException {
+    private static String findEntry(String key) throws IOException {
         return Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith(key + " = "))
                 .findFirst()
--- a/src/test/java/loadbalancer/DeployTest.java
+++ b/src/test/java/loadbalancer/DeployTest.java
@@ -13,30 +13,34 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How the deploy file starts a node. */
+/** Tests the command that starts a node and the list of policy files in the deploy file. */
 class DeployTest {
 
-    /** A node has one core, however many the machine below has: more threads only wake each other. */
+    /**
+     * A node runs on one core, however many cores its machine has. Several compiler threads on that core would only
+     * wake each other.
+     */
     @Test
-    void theJvmOfANodeHasOneCompilerThread() throws Exception {
-        String run = DeployFile.runCommand();
-        String options = run.substring(run.indexOf("java ") + "java ".length(), run.indexOf(" -jar "));
+    void jvmOfNodeHasOneCompilerThread() throws Exception {
+        String runCommand = DeployFile.runCommand();
+        String options =
+                runCommand.substring(runCommand.indexOf("java ") + "java ".length(), runCommand.indexOf(" -jar "));
         List<String> command = new ArrayList<>();
         command.add(ProcessHandle.current().info().command().orElseThrow());
         command.addAll(List.of(options.split(" ")));
         command.addAll(List.of("-XX:+PrintFlagsFinal", "-version"));
-        Process java = new ProcessBuilder(command).redirectErrorStream(true).start();
-        String flags = new String(java.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(0, java.waitFor(), flags);
-        String count = flags.lines()
+        Process jvm = new ProcessBuilder(command).redirectErrorStream(true).start();
+        String flags = new String(jvm.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(0, jvm.waitFor(), flags);
+        String compilerThreadCount = flags.lines()
                 .filter(line -> line.contains(" CICompilerCount "))
                 .findFirst()
                 .orElseThrow();
-        assertEquals("1", count.replaceAll(".*= *([0-9]+).*", "$1"), count);
+        assertEquals("1", compilerThreadCount.replaceAll(".*= *([0-9]+).*", "$1"), compilerThreadCount);
     }
 
     @Test
-    void thePolicyFilesAreAllOfTheDecisionModule() throws Exception {
+    void policyEntryListsAllSourceFilesOfDecisionModule() throws Exception {
         try (Stream<Path> files = Files.walk(Path.of("src/main/java/loadbalancer/policy"))) {
             Set<Path> sources = files.filter(file -> file.toString().endsWith(".java"))
                     .filter(file -> !file.endsWith("package-info.java"))
--- a/src/test/java/loadbalancer/KnownRedTest.java
+++ b/src/test/java/loadbalancer/KnownRedTest.java
@@ -10,70 +10,74 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Which tests {@code .ci/run} passes over: those that KNOWN-RED.txt lists, if the file is valid. */
+/**
+ * Tests which tests {@code .ci/known-red} reads from KNOWN-RED.txt, and which contents make the file invalid. The script
+ * {@code .ci/run} runs the listed tests apart from the others.
+ */
 class KnownRedTest {
-    private static final String ENTRY = entry("KnownRedTest#listedTestsAreNamed");
+    private static final String ENTRY = entry("KnownRedTest#listedTestsAreWrittenOut");
 
     @TempDir
-    Path folder;
+    Path directory;
 
-    private record Reading(int exitCode, String output) {}
+    private record ScriptResult(int exitCode, String output) {}
 
     private static String entry(String test) {
         return "test: " + test + "\ncommand: mvn -B test -Dtest=" + test
                 + "\nseed: none\nseen: 3 instead of 4\nissue: 12\n";
     }
 
-    private Reading read(String... entries) throws IOException, InterruptedException {
-        return read(Files.writeString(folder.resolve("KNOWN-RED.txt"), String.join("\n", entries)));
+    private ScriptResult readKnownRed(String... entries) throws IOException, InterruptedException {
+        return readKnownRed(Files.writeString(directory.resolve("KNOWN-RED.txt"), String.join("\n", entries)));
     }
 
-    private static Reading read(Path list) throws IOException, InterruptedException {
-        Process reading = new ProcessBuilder("bash", ".ci/known-red", list.toString(), "src/test/java")
+    private static ScriptResult readKnownRed(Path list) throws IOException, InterruptedException {
+        Process script = new ProcessBuilder("bash", ".ci/known-red", list.toString(), "src/test/java")
                 .redirectErrorStream(true)
                 .start();
-        String output = new String(reading.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
-        return new Reading(reading.waitFor(), output);
+        String output = new String(script.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
+        return new ScriptResult(script.waitFor(), output);
     }
 
     @Test
-    void noFileMeansNone() throws Exception {
-        assertEquals(new Reading(0, ""), read(folder.resolve("none.txt")));
+    void missingFileListsNoTests() throws Exception {
+        assertEquals(new ScriptResult(0, ""), readKnownRed(directory.resolve("none.txt")));
     }
 
     @Test
-    void listedTestsAreNamed() throws Exception {
+    void listedTestsAreWrittenOut() throws Exception {
         assertEquals(
-                new Reading(0, "KnownRedTest#listedTestsAreNamed\nMinimalUsageTest#aRequestIsSentAndServed"),
-                read(ENTRY, entry("MinimalUsageTest#aRequestIsSentAndServed")));
+                new ScriptResult(0, "KnownRedTest#listedTestsAreWrittenOut\nMinimalUsageTest#aRequestIsSentAndServed"),
+                readKnownRed(ENTRY, entry("MinimalUsageTest#aRequestIsSentAndServed")));
     }
 
     @Test
-    void moreThanThreeEntriesAreRejected() throws Exception {
-        assertEquals(1, read(ENTRY, ENTRY, ENTRY, ENTRY).exitCode());
-        assertEquals(0, read(ENTRY, ENTRY, ENTRY, "").exitCode());
+    void moreThanThreeEntriesAreInvalid() throws Exception {
+        assertEquals(1, readKnownRed(ENTRY, ENTRY, ENTRY, ENTRY).exitCode());
+        assertEquals(0, readKnownRed(ENTRY, ENTRY, ENTRY, "").exitCode());
     }
 
     @Test
-    void aNameThatNoTestHasIsRejected() throws Exception {
-        assertEquals(1, read(entry("KnownRedTest#noSuchTest")).exitCode());
-        assertEquals(1, read(entry("NoSuchTest#listedTestsAreNamed")).exitCode());
+    void entryForNonexistentTestIsInvalid() throws Exception {
+        assertEquals(1, readKnownRed(entry("KnownRedTest#noSuchTest")).exitCode());
+        assertEquals(
+                1, readKnownRed(entry("NoSuchTest#listedTestsAreWrittenOut")).exitCode());
         // A helper method of a test class is not a test.
-        assertEquals(1, read(entry("MinimalUsageTest#startAttempt")).exitCode());
+        assertEquals(1, readKnownRed(entry("MinimalUsageTest#startAttempt")).exitCode());
     }
 
     @Test
-    void anEntryWithoutOneOfItsFieldsIsRejected() throws Exception {
+    void entryWithoutOneOfItsFieldsIsInvalid() throws Exception {
         for (String field : ENTRY.split("\n", -1)) {
             if (!field.isEmpty()) {
-                assertEquals(1, read(ENTRY.replace(field + "\n", "")).exitCode(), "without " + field);
+                assertEquals(1, readKnownRed(ENTRY.replace(field + "\n", "")).exitCode(), "without " + field);
             }
         }
     }
 
     @Test
-    void aFieldWithoutAValueIsRejected() throws Exception {
-        assertEquals(1, read(ENTRY.replace("3 instead of 4", "")).exitCode());
-        assertEquals(1, read(ENTRY.replace("12", "later")).exitCode());
+    void fieldWithInvalidValueIsInvalid() throws Exception {
+        assertEquals(1, readKnownRed(ENTRY.replace("3 instead of 4", "")).exitCode());
+        assertEquals(1, readKnownRed(ENTRY.replace("12", "later")).exitCode());
     }
 }
--- a/src/test/java/loadbalancer/simulator/SimulatorSessionTest.java
+++ b/src/test/java/loadbalancer/simulator/SimulatorSessionTest.java
@@ -12,18 +12,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The adapter on small pieces of the wire. */
+/** Tests the replies of {@link SimulatorSession} to short inputs. */
 class SimulatorSessionTest {
     private static final String BOOT = "boot node=node-3 initSeed=5 balancers=1 classes.count=1"
             + " classes.0.name=view"
             + " classes.0.giveUpUs=500000 classes.0.onTimeUs=100000 classes.0.repeat=safe unknown.key=1"
             + " quantumUs=2000\n";
-    private static final String LIST = "roster setId=0 nodesList=1\n"
+    private static final String ENDPOINT_LIST = "roster setId=0 nodesList=1\n"
             + "server server=10.0.0.7:8003 site=z generationHw=k block=0 lifecycle=Running scale=1 extra=2\n"
             + "topology node=node-3 setId=0 generation=1 kind=stale_copy\n";
-    private static final String ITEM =
+    private static final String REQUEST =
             "work_item node=node-3 handle=b7c6f2075d3a91c4 lane=view" + " patienceLeftUs=240000" + " novel=x\n";
-    private static final String OPEN = "begin_batch timeUs=1000000\n";
+    private static final String BEGIN_BATCH = "begin_batch timeUs=1000000\n";
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
@@ -33,13 +33,13 @@
     }
 
     @Test
-    void anEmptyBatchAndTheEndOfInput() throws Exception {
+    void emptyBatchHasEmptyReply() throws Exception {
         assertEquals("next\n", run("begin_batch timeUs=8412250\neob\n"));
     }
 
     @Test
-    void aRequestIsRoutedAndItsIdGivenBackUnchanged() throws Exception {
-        String reply = run(OPEN + BOOT + LIST + ITEM + "eob\n");
+    void requestIsRoutedUnderItsUnchangedId() throws Exception {
+        String reply = run(BEGIN_BATCH + BOOT + ENDPOINT_LIST + REQUEST + "eob\n");
         assertTrue(
                 reply.contains("route node=node-3 handle=b7c6f2075d3a91c4" + " server=10.0.0.7:8003 untilUs=1240000\n"),
                 reply);
@@ -47,9 +47,10 @@
     }
 
     @Test
-    void anOutcomeEndsARequestAndAFailureFollowsTheModule() throws Exception {
-        String reply = run(OPEN + BOOT + LIST + ITEM + "eob\nbegin_batch timeUs=1240000\nresolved node=node-3"
-                + " handle=b7c6f2075d3a91c4 latencyUs=240000 rc=40 seqNo=0 server=10.0.0.7:8003\neob\n");
+    void requestIsRejectedWhenItsAttemptTimesOutAtTheDeadline() throws Exception {
+        String reply = run(
+                BEGIN_BATCH + BOOT + ENDPOINT_LIST + REQUEST + "eob\nbegin_batch timeUs=1240000\nresolved node=node-3"
+                        + " handle=b7c6f2075d3a91c4 latencyUs=240000 rc=40 seqNo=0 server=10.0.0.7:8003\neob\n");
         assertTrue(reply.contains("decline node=node-3 handle=b7c6f2075d3a91c4\n"), reply);
     }
 
@@ -81,58 +82,60 @@
                         + " | kind",
                 "begin_batch timeUs=1;boot node=n initSeed=1;eob | classes is empty"
             })
-    void malformedInputIsNamedByLineAndFieldAndNothingIsWritten(String lines, String named) {
-        String input = lines.trim().replace("B;", OPEN + BOOT).replace(';', '\n') + "\n";
+    void malformedInputThrowsExceptionNamingItsLineAndWritesNoReply(String lines, String expectedText) {
+        String input = lines.trim().replace("B;", BEGIN_BATCH + BOOT).replace(';', '\n') + "\n";
         WireFormatException e = assertThrows(WireFormatException.class, () -> run(input));
-        assertTrue(e.getMessage().contains(named.trim()), e.getMessage());
+        assertTrue(e.getMessage().contains(expectedText.trim()), e.getMessage());
         assertTrue(e.getMessage().startsWith("line "), e.getMessage());
         assertEquals(-1, e.getMessage().indexOf('\n'));
         assertEquals(0, out.size());
     }
 
     @Test
-    void theKeyOfARequestAndWarmKeysReachTheModule() throws Exception {
+    void keyAffinitySelectsSameEndpointWhateverTheSeed() throws Exception {
         String boot = BOOT.replace("unknown.key=1", "extra.warmKeys=true");
-        StringBuilder list = new StringBuilder("roster setId=0 nodesList=9\n");
+        StringBuilder endpointList = new StringBuilder("roster setId=0 nodesList=9\n");
         for (int i = 0; i < 9; i++) {
-            list.append("server server=10.0.0.").append(i).append(":80 lifecycle=Running\n");
+            endpointList.append("server server=10.0.0.").append(i).append(":80 lifecycle=Running\n");
         }
-        list.append("topology node=node-3 setId=0 generation=1 kind=stale_copy\n");
+        endpointList.append("topology node=node-3 setId=0 generation=1 kind=stale_copy\n");
         for (String seed : new String[] {"5", "6", "7", "8"}) {
-            run(OPEN + boot.replace("initSeed=5", "initSeed=" + seed) + list
-                    + ITEM.replace("novel=x", "routeKey=k:same") + "eob\n");
+            run(BEGIN_BATCH + boot.replace("initSeed=5", "initSeed=" + seed) + endpointList
+                    + REQUEST.replace("novel=x", "routeKey=k:same") + "eob\n");
         }
-        // Whatever the seed, the key draws the same server.
+        // The key alone determines the endpoint, whatever the seed.
         assertEquals(
                 1,
                 out.toString(StandardCharsets.UTF_8)
                         .lines()
-                        .filter(l -> l.startsWith("route"))
+                        .filter(line -> line.startsWith("route"))
                         .distinct()
                         .count());
     }
 
     @Test
-    void anExceptionInTheModuleIsReportedAsAFault() throws Exception {
-        String reply = run(OPEN + BOOT + LIST + ITEM + ITEM + "eob\n");
+    void exceptionOfDecisionModuleIsReportedAsFault() throws Exception {
+        String reply = run(BEGIN_BATCH + BOOT + ENDPOINT_LIST + REQUEST + REQUEST + "eob\n");
         assertTrue(reply.contains("fault node=node-3 noteText=java.lang.IllegalArgumentException"), reply);
         assertTrue(reply.endsWith("next\n"));
     }
 
     @Test
-    void aLineWithoutItsEndIsStillRead() throws Exception {
+    void lastLineWithoutLineFeedIsRead() throws Exception {
         assertEquals("next\n", run("begin_batch timeUs=8412250\neob"));
     }
 
     @Test
-    void instancesActAlikeAloneAndTogether() throws Exception {
-        String one = run(OPEN + BOOT + LIST + ITEM + "eob\n");
+    void instanceActsTheSameAloneAndBesideAnother() throws Exception {
+        String alone = run(BEGIN_BATCH + BOOT + ENDPOINT_LIST + REQUEST + "eob\n");
         out.reset();
-        String both = run(OPEN + BOOT.replace("node-3", "node-5") + LIST.replace("node=node-3", "node=node-5") + BOOT
-                + LIST + ITEM.replace("node-3", "node-5") + ITEM + "eob\n");
-        StringBuilder own = new StringBuilder();
-        both.lines().filter(l -> !l.contains("node-5")).forEach(l -> own.append(l)
-                .append('\n'));
-        assertEquals(one, own.toString());
+        String together =
+                run(BEGIN_BATCH + BOOT.replace("node-3", "node-5") + ENDPOINT_LIST.replace("node=node-3", "node=node-5")
+                        + BOOT + ENDPOINT_LIST + REQUEST.replace("node-3", "node-5") + REQUEST + "eob\n");
+        StringBuilder ofSameInstance = new StringBuilder();
+        together.lines()
+                .filter(line -> !line.contains("node-5"))
+                .forEach(line -> ofSameInstance.append(line).append('\n'));
+        assertEquals(alone, ofSameInstance.toString());
     }
 }
--- a/src/test/java/loadbalancer/testsupport/ScriptedHttpServer.java
+++ b/src/test/java/loadbalancer/testsupport/ScriptedHttpServer.java
@@ -15,36 +15,39 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An HTTP server in the place of an upstream or of discovery: it records requests, and a script responds. */
+/** An HTTP server that stands in for an endpoint or for discovery. It records requests and runs a script on each. */
 public final class ScriptedHttpServer implements AutoCloseable {
-    /** Responds to requests. */
+    /** Determines the response to each request. */
     public interface Script {
-        /** Writes the response to the peer, or nothing, on the thread of its connection. */
+        /** Writes the response to the peer, or nothing. Called on the thread of the connection. */
         void respond(HttpMessages.Message request, Peer peer) throws IOException;
     }
 
-    /** A connection that the proxy has opened. */
+    /** A connection that the proxy opened to this server. */
     public record Peer(Socket socket) {
-        /** Writes text as UTF-8. */
+        /** Writes the text as UTF-8. */
         public void write(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        /** Resets the connection. */
+        /** Closes the connection with a TCP reset. */
         public void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
     }
 
-    /** The requests, in the order of their arrival. */
+    /** The requests received, in order of arrival. */
     public final BlockingQueue<HttpMessages.Message> requests = new LinkedBlockingQueue<>();
-    /** The connection of each request, added once the script has run: later writes follow its response. */
+    /**
+     * The connection of each request, added after the script has run, so that what a test writes to the connection
+     * follows the response of the script.
+     */
     public final BlockingQueue<Peer> peers = new LinkedBlockingQueue<>();
 
-    /** Connections that the proxy has closed. */
+    /** Connections that were closed or reset by the proxy, or by this server. */
     public final BlockingQueue<Peer> closedConnections = new LinkedBlockingQueue<>();
-    /** Connections in the order in which they were accepted. */
+    /** The connections, in the order in which they were accepted. */
     public final BlockingQueue<Peer> accepted = new LinkedBlockingQueue<>();
     /** The number of connections accepted so far. */
     public final AtomicInteger acceptedCount = new AtomicInteger();
@@ -57,23 +60,23 @@
     public ScriptedHttpServer(Script script) throws IOException {
         this.script = script;
         listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        startDaemon(this::accept);
+        startDaemon(this::acceptConnections);
     }
 
-    /** A server that responds to each request with status 200. */
+    /** Starts a server that responds to each request with status 200. */
     public static ScriptedHttpServer serving(String body) throws IOException {
         return new ScriptedHttpServer((request, peer) -> peer.write(HttpMessages.ok(body)));
     }
 
-    /** A server that responds with status 200 once the latch is released. */
-    public static ScriptedHttpServer servingFrom(CountDownLatch start, String body) throws IOException {
+    /** Starts a server that responds to each request with status 200, but not before the latch is released. */
+    public static ScriptedHttpServer servingFrom(CountDownLatch latch, String body) throws IOException {
         return new ScriptedHttpServer((request, peer) -> {
-            await(start);
+            await(latch);
             peer.write(HttpMessages.ok(body));
         });
     }
 
-    /** Waits for the latch in a script, which delays the response. */
+    /** Waits for the latch. Called by a script to delay its response. */
     public static void await(CountDownLatch latch) throws IOException {
         try {
             latch.await();
@@ -82,7 +85,7 @@
         }
     }
 
-    /** The address and port, as in an endpoint list. */
+    /** Returns the address and port of this server as an endpoint list names them. */
     public String endpoint() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
@@ -93,7 +96,7 @@
         thread.start();
     }
 
-    private void accept() {
+    private void acceptConnections() {
         try {
             while (true) {
                 Socket socket = listener.accept();
@@ -101,14 +104,14 @@
                 acceptedCount.incrementAndGet();
                 Peer peer = new Peer(socket);
                 accepted.add(peer);
-                startDaemon(() -> serve(peer));
+                startDaemon(() -> serveConnection(peer));
             }
         } catch (IOException e) {
-            // The listener is closed.
+            // stop() has closed the listener.
         }
     }
 
-    private void serve(Peer peer) {
+    private void serveConnection(Peer peer) {
         try {
             while (true) {
                 HttpMessages.Message request = HttpMessages.read(peer.socket.getInputStream());
@@ -121,14 +124,14 @@
         }
     }
 
-    /** Removes the next element; fails if there is none within 20 seconds. */
+    /** Waits for the next element and removes it. Fails if there is none within 20 seconds. */
     public static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
-        T next = queue.poll(20, TimeUnit.SECONDS);
-        assertNotNull(next, "no element within 20 seconds");
-        return next;
+        T element = queue.poll(20, TimeUnit.SECONDS);
+        assertNotNull(element, "no request or connection was added to the queue within 20 seconds");
+        return element;
     }
 
-    /** Closes the listener and all connections, as the end of its process would. */
+    /** Closes the listener and all connections, as the exit of a server process does. */
     public void stop() throws IOException {
         listener.close();
         for (Socket socket : sockets) {
