--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
@@ -96,6 +96,7 @@
         this(config, loop, ProxyNodeDependencies.standard(config));
     }
 
+    /** Creates a node on an event loop. {@link #start} connects it to discovery and opens its listener. */
     public ProxyNode(ProxyConfiguration config, EventLoop loop, ProxyNodeDependencies dependencies) {
         this.config = config;
         this.loop = loop;
--- a/src/main/java/loadbalancer/proxy/routing/InFlightRequest.java
+++ b/src/main/java/loadbalancer/proxy/routing/InFlightRequest.java
@@ -18,6 +18,12 @@
     /** Whether the final response has been sent or the client has disconnected. */
     public boolean isEnded;
 
+    /**
+     * Creates a request without attempts.
+     *
+     * @param id the id of the request in the decision module
+     * @param deadlineUs the time by which the request must have its final response
+     */
     public InFlightRequest(long id, ClientRequest request, ClientConnection client, long deadlineUs) {
         this.id = id;
         this.request = request;
