--- a/src/main/java/loadbalancer/simulator/WireLineParser.java
+++ b/src/main/java/loadbalancer/simulator/WireLineParser.java
@@ -109,11 +109,13 @@
         return fieldCount;
     }
 
+    /** Returns the key of the field at this index, which counts from 0. */
     public String key(int field) {
         int from = keyStart[field];
         return new String(buffer, from, Math.max(0, valueStart[field] - 1 - from), StandardCharsets.UTF_8);
     }
 
+    /** Returns the value of the field at this index, which counts from 0. The value may be empty. */
     public String value(int field) {
         int from = valueStart[field];
         return new String(buffer, from, valueEnd[field] - from, StandardCharsets.UTF_8);
--- a/src/test/java/loadbalancer/testsupport/ScriptedHttpServer.java
+++ b/src/test/java/loadbalancer/testsupport/ScriptedHttpServer.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** An HTTP server that stands in for an endpoint or for discovery. It records requests and runs a script on each. */
+/** An HTTP server that stands in for an endpoint or for discovery. It records requests and runs a script for each. */
 public final class ScriptedHttpServer implements AutoCloseable {
     /** Determines the response to each request. */
     public interface Script {
