--- a/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ProxyNode.java
@@ -382,7 +382,7 @@
      */
     private void notifyLeaseChanged(long expiresAtUs) {
         events.add(null, () -> {
-            pool.setLeaseEnd(expiresAtUs);
+            pool.setLeaseExpiry(expiresAtUs);
             isReady |= pool.isLeaseHeld();
             loadBalancer.onLeaseChanged(clock.nowUs(), expiresAtUs);
         });
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -46,7 +46,9 @@
 
     private final UpstreamConnectionPool pool;
     private final UpstreamEndpoint upstream;
+    /** The endpoint's generation when the connect began. */
     private final int generation;
+
     private final UpstreamChannel channel;
     private State state = State.IDLE;
     private UpstreamExchange exchange;
@@ -94,7 +96,7 @@
     void makeAvailable() {
         if (!isUsable() || !channel.hasNoUnreadInput()) {
             close();
-            // If this connection was just opened, an exchange may still wait for it. The endpoint's address may have
+            // The exchange for which this connection was opened may still wait, for example because the endpoint's address
             // changed during the connect.
             if (upstream.isReady()) {
                 upstream.failOneWithoutConnect();
@@ -212,9 +214,11 @@
         return true;
     }
 
+    /** Appends content to the response. Returns false if the response exceeds a size limit. */
     private boolean append(HttpContent content) {
-        int more = content.content().readableBytes();
-        if (response.size() + more > ConnectionLimits.MAX_RESPONSE_BODY_BYTES || !pool.reserveResponseBytes(more)) {
+        int addedBytes = content.content().readableBytes();
+        if (response.size() + addedBytes > ConnectionLimits.MAX_RESPONSE_BODY_BYTES
+                || !pool.reserveResponseBytes(addedBytes)) {
             return false;
         }
         response.append(content.content());
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnectionPool.java
@@ -42,7 +42,7 @@
     /**
      * Creates a pool without endpoints.
      *
-     * @param connIdleUs the time for which endpoints keep idle connections open
+     * @param idleTimeoutUs the time for which endpoints keep idle connections open
      * @param reuseDelayUs the time after a response for which a connection carries no new exchange
      * @param channels creates the channels; throws an exception if no file descriptor is available
      */
@@ -51,13 +51,13 @@
             DescriptorBudget descriptorBudget,
             Clock clock,
             long connectTimeoutUs,
-            long connIdleUs,
+            long idleTimeoutUs,
             long reuseDelayUs,
             ChannelFactory<UpstreamChannel> channels) {
         this.eventLoop = eventLoop;
         this.descriptorBudget = descriptorBudget;
         this.clock = clock;
-        this.idleTimeoutUs = connIdleUs;
+        this.idleTimeoutUs = idleTimeoutUs;
         this.reuseDelayUs = reuseDelayUs;
         bootstrap = new Bootstrap()
                 .group(eventLoop)
@@ -110,8 +110,8 @@
     }
 
     /** Sets when the lease expires. If it has expired, completes all exchanges without a written byte as not sent. */
-    public void setLeaseEnd(long untilUs) {
-        leaseExpiresAtUs = untilUs;
+    public void setLeaseExpiry(long expiresAtUs) {
+        leaseExpiresAtUs = expiresAtUs;
         if (!isLeaseHeld()) {
             endpointsById.values().forEach(UpstreamEndpoint::endPendingExchanges);
             withdrawUnsent();
@@ -130,7 +130,7 @@
 
     // ---------------------------------------------------------------- exchanges
 
-    /** Starts an exchange on an idle or a new connection. May complete the exchange before this method returns. */
+    /** Starts an exchange on an idle or a new connection. The exchange may complete before this method returns. */
     public void start(String endpointId, UpstreamExchange exchange) {
         UpstreamEndpoint upstream = endpointsById.get(endpointId);
         if (upstream == null || !upstream.isReady() || !isSendAllowed(exchange)) {
--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamEndpoint.java
@@ -27,7 +27,9 @@
 
     private InetSocketAddress address;
     private long startedAtUs;
+    /** Increases with each new process of the endpoint. */
     private int generation;
+
     private boolean ready;
 
     UpstreamEndpoint(String id) {
@@ -37,7 +39,7 @@
     /**
      * Applies the entry of the endpoint list. A new address or start time means another process, which gets a new
      * generation number; connections of earlier generations are not used any more. Start times are only compared for
-     * equality, never for order, because wall clocks of different machines differ and may be stepped.
+     * equality, never for order, because they come from wall clocks of different machines, which may be stepped.
      */
     void update(EndpointList.AddressedEndpoint listedEndpoint, boolean isReady) {
         if (!listedEndpoint.address().equals(address) || listedEndpoint.entry().startedAtUs() != startedAtUs) {
--- a/src/test/java/loadbalancer/faultinjection/ClosedLoopClient.java
+++ b/src/test/java/loadbalancer/faultinjection/ClosedLoopClient.java
@@ -22,7 +22,7 @@
         StandInThreads.start(this::run);
     }
 
-    /** Returns the requestNumber of complete responses of any status. */
+    /** Returns the number of complete responses of any status. */
     int responseCount() {
         return responseCount.get();
     }
--- a/src/test/java/loadbalancer/faultinjection/StaleEndpointListTest.java
+++ b/src/test/java/loadbalancer/faultinjection/StaleEndpointListTest.java
@@ -20,24 +20,24 @@
  * killed and discovery had more callers than it could serve.
  *
  * <p>How it comes about: two endpoints begin to drain. Discovery ends each watch within two seconds without sending the
- * change. All fleetSize call again at once, and their calls are queued, refused or cut short. Both drains count as notified at a
- * node 2 s after the end of its watch, but the node still waits for its list and continues to send to both endpoints. A
- * process that is killed and restarted does the same with the list of its configuration.
+ * change. All nodes call again at once, and their calls are queued, refused or cut short. Both drains count as notified
+ * at a node 2 s after the end of its watch, but the node still waits for its list and continues to send to both
+ * endpoints. A process that is killed and restarted does the same with the list of its configuration.
  *
- * <p>Cause: the use of a list had no time limit. Nodes called discovery in time, but ignored that the calls waited or failed
- * and continued with the list that they had.
+ * <p>Cause: the use of a list had no time limit. Nodes called discovery in time, but ignored that the calls waited or
+ * failed, and continued with the list that they had.
  *
  * <p>Evidence: two drains made 1.5 s apart count as notified at the same moment, so the cause is an event at the node and
- * not the age of each drain. In two runs of one day with the logs of all fleetSize, this moment was 2.0 s after the end of the
- * watches of the failing fleetSize. Three runs of that day had 50, 51 and 67 violations; two runs in which the end of a watch
- * limits the use of the list to this time had none.
+ * not the age of each drain. In two runs of one day with the logs of all nodes, this moment was 2.0 s after the end of
+ * the watches of the failing nodes. Three runs of that day had 50, 51 and 67 violations. Two runs in which the end of a
+ * watch limited the use of the list to this time had none.
  */
 class StaleEndpointListTest {
     private static final long DRAIN_BEFORE_START_MS = -7_000;
     private static final long DRAIN_AFTER_MS = 500;
     /** The duration of an outage that begins when the process starts. */
     private static final long OUTAGE_MS = 6_000;
-    /** The duration where a process serves for a while before its calls fail, so that the outage exceeds the drain's grace. */
+    /** The duration of an outage where the process serves for a while first. It lasts beyond the grace of the drain. */
     private static final long LONG_OUTAGE_MS = 12_000;
 
     private static final List<Fault> FAILURES =
--- a/src/test/java/loadbalancer/faultinjection/StandInUpstream.java
+++ b/src/test/java/loadbalancer/faultinjection/StandInUpstream.java
@@ -12,9 +12,9 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** Stands in for an endpoint. It serves every request at once and records when the firstByte byte arrived. */
+/** Stands in for an endpoint. It serves every request at once and records when the first byte arrived. */
 final class StandInUpstream implements AutoCloseable {
-    /** A request that reached an endpoint, and the time of its firstByte byte (nanoseconds of the monotonic clock). */
+    /** A request that reached an endpoint, and the time of its first byte (nanoseconds of the monotonic clock). */
     record Arrival(String endpointId, String requestId, long firstByteNanos) {}
 
     private static final String ID_HEADER = "x-txn:";
