--- a/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/loadbalancer/proxy/upstream/UpstreamConnection.java
@@ -96,7 +96,8 @@
     void makeAvailable() {
         if (!isUsable() || !channel.hasNoUnreadInput()) {
             close();
-            // The exchange for which this connection was opened may still wait, for example because the endpoint's address
+            // The exchange for which this connection was opened may still wait, for example because the endpoint's
+            // address
             // changed during the connect.
             if (upstream.isReady()) {
                 upstream.failOneWithoutConnect();
--- a/src/test/java/loadbalancer/faultinjection/StaleEndpointListTest.java
+++ b/src/test/java/loadbalancer/faultinjection/StaleEndpointListTest.java
@@ -16,8 +16,8 @@
 /**
  * Guards against a node that routes by an endpoint list which may be out of date.
  *
- * <p>Failure: requests reached endpoints up to one second after the grace of their drain, while seven of ten fleetSize had been
- * killed and discovery had more callers than it could serve.
+ * <p>Failure: requests reached endpoints up to one second after the grace of their drain, while seven of ten nodes had
+ * been killed and discovery had more callers than it could serve.
  *
  * <p>How it comes about: two endpoints begin to drain. Discovery ends each watch within two seconds without sending the
  * change. All nodes call again at once, and their calls are queued, refused or cut short. Both drains count as notified
