--- a/src/main/java/loadbalancer/policy/retry/RetryRules.java
+++ b/src/main/java/loadbalancer/policy/retry/RetryRules.java
@@ -8,50 +8,58 @@
 import loadbalancer.policy.model.Endpoint;
 import loadbalancer.policy.model.PendingRequest;
 
-/** Which further attempts and which final responses the idempotency of a request permits. */
+/** Decides which further attempts and final responses the idempotency of a request permits. */
 public final class RetryRules {
     private final LoadBalancerSettings settings;
 
-    /** Rules by these settings. */
+    /** Creates rules that follow the attempt limit of these settings. */
     public RetryRules(LoadBalancerSettings settings) {
         this.settings = settings;
     }
 
-    /** Whether another attempt could be permitted, wherever it goes. */
+    /** Returns whether the request may have another attempt, regardless of the endpoint. */
     public boolean mayRetry(PendingRequest request, long nowUs) {
         if (request.attemptCount() >= settings.maxAttempts
                 || nowUs >= request.deadlineAtUs()
                 || request.isStreaming()) {
             return false;
         }
-        Attempt executed = request.firstPossiblyExecuted();
+        Attempt possiblyExecuted = request.firstPossiblyExecutedAttempt();
         RequestClass requestClass = request.requestClass();
-        return executed == null
+        return possiblyExecuted == null
                 || switch (requestClass.idempotency()) {
                     case IDEMPOTENT -> true;
-                    case IDEMPOTENCY_KEY -> nowUs <= executed.startedAtUs() + requestClass.deduplicationWindowUs();
+                    case IDEMPOTENCY_KEY ->
+                        nowUs <= possiblyExecuted.startedAtUs() + requestClass.deduplicationWindowUs();
                     case NON_IDEMPOTENT -> false;
                 };
     }
 
-    /** Whether an endpoint deduplicates a request with the one at which it may have been executed. */
-    public boolean permits(PendingRequest request, Endpoint endpoint) {
+    /**
+     * Returns whether an attempt at this endpoint is permitted, given that the request may have a further attempt. If a
+     * request with an idempotency key may have been executed, only endpoints in the deduplication scope of that attempt
+     * are permitted.
+     */
+    public boolean permitsAttemptAt(PendingRequest request, Endpoint endpoint) {
         if (request.requestClass().idempotency() != Idempotency.IDEMPOTENCY_KEY) {
             return true;
         }
-        Attempt executed = request.firstPossiblyExecuted();
-        return executed == null
+        Attempt possiblyExecuted = request.firstPossiblyExecutedAttempt();
+        return possiblyExecuted == null
                 || switch (request.requestClass().deduplicationScope()) {
                     case ALL -> true;
-                    case ZONE -> endpoint.zone() == executed.endpoint().zone();
-                    case CELL -> endpoint.cell() == executed.endpoint().cell();
+                    case ZONE -> endpoint.zone() == possiblyExecuted.endpoint().zone();
+                    case CELL -> endpoint.cell() == possiblyExecuted.endpoint().cell();
                 };
     }
 
-    /** Whether a request may be rejected, which promises that the client may safely retry; else it has failed. */
+    /**
+     * Returns whether the request may be rejected, which promises the client that it may safely retry; otherwise the
+     * request fails.
+     */
     public boolean mayReject(PendingRequest request) {
         RequestClass requestClass = request.requestClass();
-        return request.firstPossiblyExecuted() == null
+        return request.firstPossiblyExecutedAttempt() == null
                 || requestClass.idempotency() == Idempotency.IDEMPOTENT
                 || (requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                         && requestClass.deduplicationScope() == DeduplicationScope.ALL);
--- a/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
+++ b/src/main/java/loadbalancer/proxy/lifecycle/ConfigurationReloader.java
@@ -9,24 +9,25 @@
 import loadbalancer.proxy.logging.LogEvent;
 
 /**
- * SIGHUP: the configuration file is read again and the node is told. A JVM left alone would end on it.
+ * Reloads the configuration file on SIGHUP and applies it to the node. By default, SIGHUP terminates the JVM.
  *
- * <p>A file that cannot be read may be half written: it is read again for some time, as no second signal need come.
+ * <p>An invalid file may be only partly written. Because no second signal may follow, the file is read again for some
+ * time.
  */
 final class ConfigurationReloader {
-    /** Between two attempts to read a file that cannot be used. */
-    private static final long RETRY_MS = 100;
-    /** Attempts after a signal: for five seconds. */
-    private static final int MOST_ATTEMPTS = 50;
+    /** The time between two attempts to read an invalid file. */
+    private static final long RETRY_INTERVAL_MS = 100;
+    /** The maximum number of attempts after a signal, which last five seconds. */
+    private static final int MAX_ATTEMPTS = 50;
 
-    private static final long NONE = Long.MAX_VALUE;
+    private static final long NO_PENDING_SIGNAL = Long.MAX_VALUE;
 
     private final Map<String, String> env;
     private final ProxyNode node;
-    /** How many signals have come: a later one ends the attempts of those before it. */
-    private long signals;
-    /** When the first signal came behind which the file has not been read yet. */
-    private long signalledAtUs = NONE;
+    /** The number of received signals. A later signal ends the attempts that an earlier one started. */
+    private long signalCount;
+    /** The arrival time of the first signal since the file was last read successfully. */
+    private long pendingSignalAtUs = NO_PENDING_SIGNAL;
 
     private ConfigurationReloader(Map<String, String> env, ProxyNode node) {
         this.env = env;
@@ -34,52 +35,53 @@
     }
 
     /**
-     * Takes over the signal. By name, as the compiler's warning about sun.misc.Signal, which is the only way
-     * to have signals, cannot be turned off for one class.
+     * Installs the SIGHUP handler. Uses reflection, because sun.misc.Signal is the only API for signals and the
+     * compiler's warning about it cannot be suppressed for a single class.
      */
-    static void onHangUp(Map<String, String> env, ProxyNode node) {
-        ConfigurationReloader reload = new ConfigurationReloader(env, node);
+    static void installSignalHandler(Map<String, String> env, ProxyNode node) {
+        ConfigurationReloader reloader = new ConfigurationReloader(env, node);
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object read = Proxy.newProxyInstance(
+            Object signalHandler = Proxy.newProxyInstance(
                     ConfigurationReloader.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
-                        reload.read(node.nowUs());
+                        reloader.reload(node.nowUs());
                         return null;
                     });
             signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), read);
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), signalHandler);
         } catch (ReflectiveOperationException e) {
             EventLog.error("SIGHUP cannot be handled", e);
         }
     }
 
     /**
-     * Each signal has a thread of its own, on which files are read and waits pass, never on the event loop. One at a
-     * time, so that the file as read last is what holds; a wait lets a later signal in.
+     * Reloads the configuration, with retries. The JVM calls this method on a separate thread for each signal, so that
+     * reading and waiting never block the event loop. The method is synchronized so that the file that was read last
+     * takes effect; waiting releases the lock for a later signal.
      */
-    private synchronized void read(long cameAtUs) throws InterruptedException {
-        long signal = ++signals;
-        signalledAtUs = Math.min(signalledAtUs, cameAtUs);
-        for (int attempt = 1; attempt <= MOST_ATTEMPTS && !isRead(attempt); attempt++) {
-            wait(RETRY_MS);
-            if (signal != signals) {
+    private synchronized void reload(long receivedAtUs) throws InterruptedException {
+        long signalNumber = ++signalCount;
+        pendingSignalAtUs = Math.min(pendingSignalAtUs, receivedAtUs);
+        for (int attempt = 1; attempt <= MAX_ATTEMPTS && !tryReload(attempt); attempt++) {
+            wait(RETRY_INTERVAL_MS);
+            if (signalNumber != signalCount) {
                 return;
             }
         }
     }
 
-    private boolean isRead(int attempt) {
+    private boolean tryReload(int attempt) {
         try {
-            ProxyConfiguration changed = ProxyConfiguration.reload(env);
-            EventLog.event(LogEvent.named("reload").with("attempt", attempt).with("discovery", changed.discovery()));
-            node.reload(changed, signalledAtUs);
-            signalledAtUs = NONE;
+            ProxyConfiguration newConfig = ProxyConfiguration.reload(env);
+            EventLog.event(LogEvent.named("reload").with("attempt", attempt).with("discovery", newConfig.discovery()));
+            node.reload(newConfig, pendingSignalAtUs);
+            pendingSignalAtUs = NO_PENDING_SIGNAL;
             return true;
         } catch (ConfigurationException e) {
-            if (attempt == 1 || attempt == MOST_ATTEMPTS) {
-                EventLog.message("reload: " + e.getMessage() + "; the configuration stays as it was"
-                        + (attempt == 1 ? ", the file is read again" : ""));
+            if (attempt == 1 || attempt == MAX_ATTEMPTS) {
+                EventLog.message("reload: " + e.getMessage() + "; the previous configuration remains in effect"
+                        + (attempt == 1 ? ", and the file will be read again" : ""));
             }
             return false;
         }
--- a/src/main/java/loadbalancer/proxy/routing/Attempt.java
+++ b/src/main/java/loadbalancer/proxy/routing/Attempt.java
@@ -18,45 +18,54 @@
 import loadbalancer.proxy.upstream.UpstreamConnectionPool;
 import loadbalancer.proxy.upstream.UpstreamExchange;
 
-/** One attempt of a request at one server. */
+/** An attempt: a request sent to one endpoint. */
 public final class Attempt implements UpstreamExchange {
     private static final byte[] NO_BODY = {};
 
-    /** What becomes of an attempt. */
+    /** Receives the result of an attempt. */
     public interface Listener {
-        /** Its one end. */
+        /**
+         * Handles the end of an attempt. Called once for each attempt.
+         *
+         * @param body the body of the endpoint's response if the result is OK, otherwise empty
+         */
         void onAttemptEnded(Attempt attempt, AttemptResult result, byte[] body);
     }
 
     private final InFlightRequest request;
     private final int number;
-    private final String serverId;
-    private final long untilUs;
-    private final long sentAtUs;
+    private final String endpointId;
+    private final long deadlineUs;
+    private final long startedAtUs;
     private final LoadBalancerSettings settings;
     private final UpstreamConnectionPool pool;
     private final Clock clock;
     private final Listener listener;
     private Future<?> expiry;
-    private boolean over;
+    private boolean isCompleted;
 
+    /**
+     * Creates an attempt that {@link #start} sends. Its number is the number of earlier attempts of the request.
+     *
+     * @param deadlineUs the time at which the attempt times out, no later than the deadline of the request
+     */
     public Attempt(
-            InFlightRequest of,
-            String serverId,
-            long untilUs,
+            InFlightRequest request,
+            String endpointId,
+            long deadlineUs,
             LoadBalancerSettings settings,
             UpstreamConnectionPool pool,
             Clock clock,
             Listener listener) {
-        this.request = of;
-        this.number = of.attempts.size();
-        this.serverId = serverId;
-        this.untilUs = untilUs;
+        this.request = request;
+        this.number = request.attempts.size();
+        this.endpointId = endpointId;
+        this.deadlineUs = deadlineUs;
         this.settings = settings;
         this.pool = pool;
         this.clock = clock;
         this.listener = listener;
-        sentAtUs = clock.nowUs();
+        startedAtUs = clock.nowUs();
     }
 
     public InFlightRequest request() {
@@ -67,12 +76,12 @@
         return number;
     }
 
-    public String serverId() {
-        return serverId;
+    public String endpointId() {
+        return endpointId;
     }
 
-    public long sentAtUs() {
-        return sentAtUs;
+    public long startedAtUs() {
+        return startedAtUs;
     }
 
     @Override
@@ -87,7 +96,7 @@
                 .set(HttpHeaderNames.HOST, "backend.local")
                 .set("X-Txn", clientRequest.transactionId())
                 .set("X-Lane", settings.classes.get(clientRequest.classIndex()).name())
-                .set("X-Remaining", Math.max(1, untilUs - clock.nowUs()) + "u");
+                .set("X-Remaining", Math.max(1, deadlineUs - clock.nowUs()) + "u");
         if (clientRequest.idempotencyKey() != null) {
             message.headers().set("Idempotency-Key", clientRequest.idempotencyKey());
         }
@@ -97,48 +106,52 @@
         return message;
     }
 
-    /** Not if it is answered or its client has left, whether the module has been notified of that or not. */
+    /**
+     * {@inheritDoc} Returns false once the request has its response or its client has disconnected, even if the
+     * decision module has not been notified of that yet.
+     */
     @Override
     public boolean isActive() {
-        return !request.ended && clock.nowUs() < untilUs && request.client.isPresent();
+        return !request.isEnded && clock.nowUs() < deadlineUs && request.client.isConnected();
     }
 
-    /** Sends it, unless it may not be sent at all. */
-    public void begin(EventLoop loop) {
-        request.outstanding++;
-        if (untilUs <= sentAtUs || number >= settings.maxAttempts) {
+    /** Sends the attempt, unless its deadline has passed or the request has reached its maximum number of attempts. */
+    public void start(EventLoop loop) {
+        request.outstandingAttempts++;
+        if (deadlineUs <= startedAtUs || number >= settings.maxAttempts) {
             onCompleted(AttemptResult.NOT_SENT, NO_BODY);
             return;
         }
-        expiry = loop.schedule(this::expire, untilUs - sentAtUs, TimeUnit.MICROSECONDS);
-        pool.start(serverId, this);
+        expiry = loop.schedule(this::expire, deadlineUs - startedAtUs, TimeUnit.MICROSECONDS);
+        pool.start(endpointId, this);
     }
 
     private void expire() {
-        // What never left for want of a connection is known not to have run.
-        onCompleted(pool.abandon(serverId, this) ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, NO_BODY);
+        // An attempt that was not sent for lack of a connection was certainly not executed.
+        onCompleted(pool.abandon(endpointId, this) ? AttemptResult.TIMEOUT : AttemptResult.CONNECT_FAILED, NO_BODY);
     }
 
-    /** The request is over: what has not been sent whole must not run any more. */
-    public void withdraw() {
-        if (!over && pool.withdraw(serverId, this)) {
+    /** Cancels the attempt because its request has ended, unless its message has been written completely. */
+    public void cancelIfNotSent() {
+        if (!isCompleted && pool.withdraw(endpointId, this)) {
             onCompleted(AttemptResult.NOT_SENT, NO_BODY);
         }
     }
 
+    /** Cancels the attempt, unless it has completed. */
     public void cancel() {
-        if (!over) {
-            pool.abandon(serverId, this);
+        if (!isCompleted) {
+            pool.abandon(endpointId, this);
             onCompleted(AttemptResult.CANCELLED, NO_BODY);
         }
     }
 
     @Override
     public void onCompleted(AttemptResult result, byte[] body) {
-        if (over) {
+        if (isCompleted) {
             return;
         }
-        over = true;
+        isCompleted = true;
         if (expiry != null) {
             expiry.cancel(false);
         }
--- a/src/test/java/loadbalancer/policy/ActiveEndpointsTest.java
+++ b/src/test/java/loadbalancer/policy/ActiveEndpointsTest.java
@@ -10,10 +10,10 @@
 
 import loadbalancer.policy.model.Endpoint;
 
-/** Which endpoints {@link ActiveEndpoints} uses, and when connections to the others are closed. */
+/** Tests which endpoints {@link ActiveEndpoints} uses, and when it closes connections to the others. */
 class ActiveEndpointsTest {
     private final DecisionModuleParts parts = new DecisionModuleParts();
-    private final Endpoint[] endpoints = parts.useEndpoints("a", "b", "c");
+    private final Endpoint[] endpoints = parts.activateEndpoints("a", "b", "c");
 
     private void update(Endpoint... listed) {
         parts.activeEndpoints.update(List.of(listed), DecisionModuleParts.NOW_US);
@@ -24,10 +24,10 @@
     }
 
     @Test
-    void activeEndpointsHaveTheirPositionAndALimit() {
+    void activeEndpointsGetAPositionAndAnInitialLimit() {
         for (int i = 0; i < endpoints.length; i++) {
             assertTrue(endpoints[i].isActive());
-            assertEquals(i, endpoints[i].position());
+            assertEquals(i, endpoints[i].activeIndex());
             assertEquals(4, endpoints[i].concurrency().limit());
         }
     }
@@ -37,7 +37,7 @@
         drain(endpoints[1]);
         update(endpoints);
         assertFalse(endpoints[1].isActive());
-        assertEquals(1, endpoints[2].position());
+        assertEquals(1, endpoints[2].activeIndex());
     }
 
     @Test
@@ -49,10 +49,10 @@
 
     @Test
     void connectionsStayOpenUntilNoAttemptIsInFlight() {
-        endpoints[0].concurrency().increment();
+        endpoints[0].concurrency().incrementInFlight();
         update(endpoints[1], endpoints[2]);
         assertEquals(List.of(), parts.actions.closedEndpoints);
-        endpoints[0].concurrency().decrement();
+        endpoints[0].concurrency().decrementInFlight();
         parts.activeEndpoints.closeIfUnused(endpoints[0]);
         assertEquals(List.of("a"), parts.actions.closedEndpoints);
     }
@@ -64,10 +64,10 @@
     }
 
     @Test
-    void ejectedEndpointsThatAreNoLongerActiveAreForgottenByOutlierDetection() {
+    void outlierDetectionForgetsEjectedEndpointsThatAreNoLongerActive() {
         parts.eject(endpoints[0]);
-        assertTrue(parts.outlierDetector.hasEjected());
+        assertTrue(parts.outlierDetector.hasEjectedEndpoints());
         update(endpoints[1], endpoints[2]);
-        assertFalse(parts.outlierDetector.hasEjected());
+        assertFalse(parts.outlierDetector.hasEjectedEndpoints());
     }
 }
--- a/src/test/java/loadbalancer/policy/EndpointRegistryTest.java
+++ b/src/test/java/loadbalancer/policy/EndpointRegistryTest.java
@@ -15,7 +15,7 @@
 import loadbalancer.policy.model.Endpoint;
 import loadbalancer.policy.model.EndpointSharing;
 
-/** How {@link EndpointRegistry} follows endpoint lists and incarnations. */
+/** Tests how {@link EndpointRegistry} applies endpoint lists and detects new incarnations. */
 class EndpointRegistryTest implements OutlierDetector.Listener {
     private static final long NOW_US = 1_000_000;
 
@@ -53,7 +53,7 @@
 
     @Test
     void changesAddAndRemoveEndpointsInListOrder() {
-        update(EndpointListKind.FULL, ready("a"), ready("b"));
+        update(EndpointListKind.COMPLETE, ready("a"), ready("b"));
         update(EndpointListKind.CHANGES, ready("c"), entry("a", EndpointState.REMOVED, 0));
         assertEquals(List.of("b", "c"), listedIds());
         update(EndpointListKind.CHANGES, ready("a"));
@@ -62,32 +62,32 @@
 
     @Test
     void drainingEndpointsStayListed() {
-        update(EndpointListKind.FULL, ready("a"));
+        update(EndpointListKind.COMPLETE, ready("a"));
         update(EndpointListKind.CHANGES, entry("a", EndpointState.DRAINING, 0));
         assertEquals(List.of("a"), listedIds());
         assertEquals(EndpointState.DRAINING, registry.listed().get(0).state());
     }
 
     @Test
-    void aFullListRemovesTheOthersAndKeepsWhatIsKnownOfItsOwn() {
-        update(EndpointListKind.FULL, ready("a"), ready("b"));
+    void aCompleteListRemovesMissingEndpointsAndKeepsTheStateOfListedOnes() {
+        update(EndpointListKind.COMPLETE, ready("a"), ready("b"));
         Endpoint removed = registry.listed().get(0);
         Endpoint kept = registry.listed().get(1);
-        update(EndpointListKind.FULL, ready("c"), ready("b"));
+        update(EndpointListKind.COMPLETE, ready("c"), ready("b"));
         assertEquals(List.of("c", "b"), listedIds());
         assertSame(kept, registry.listed().get(1));
         assertEquals(EndpointState.REMOVED, removed.state());
     }
 
     @Test
-    void removedEndpointsAreForgottenOnceNoAttemptIsInFlight() {
-        update(EndpointListKind.FULL, ready("a"), ready("b"));
+    void removedEndpointsAreForgottenOnceTheyHaveNoAttemptInFlight() {
+        update(EndpointListKind.COMPLETE, ready("a"), ready("b"));
         Endpoint busy = registry.listed().get(0);
-        busy.concurrency().increment();
-        update(EndpointListKind.FULL);
+        busy.concurrency().incrementInFlight();
+        update(EndpointListKind.COMPLETE);
         registry.forgetRemoved();
         assertEquals(1, registry.size());
-        busy.concurrency().decrement();
+        busy.concurrency().decrementInFlight();
         registry.forgetRemoved();
         assertEquals(0, registry.size());
         update(EndpointListKind.CHANGES, ready("a"));
@@ -95,8 +95,8 @@
     }
 
     @Test
-    void aNewIncarnationForgetsErrorsAndLimit() {
-        update(EndpointListKind.FULL, entry("a", EndpointState.READY, 500));
+    void aNewIncarnationStartsWithoutErrorsEjectionAndLimit() {
+        update(EndpointListKind.COMPLETE, entry("a", EndpointState.READY, 500));
         Endpoint endpoint = registry.listed().get(0);
         endpoint.setErrorCount(3);
         endpoint.health().eject(1, 1);
@@ -112,27 +112,27 @@
     }
 
     @Test
-    void inTheFirstListsAStartCountsFromItsTimeButNotFromTheFuture() {
+    void warmingUpStartsAtTheListedStartTimeInTheFirstListsButNotInTheFuture() {
         update(
                 EndpointListKind.CACHED,
                 entry("past", EndpointState.READY, NOW_US - 300),
                 entry("future", EndpointState.READY, NOW_US + 300));
         assertEquals(NOW_US - 300, registry.listed().get(0).warmingUpSinceUs());
         assertEquals(NOW_US, registry.listed().get(1).warmingUpSinceUs());
-        update(EndpointListKind.FULL, entry("restarted", EndpointState.READY, NOW_US - 200));
+        update(EndpointListKind.COMPLETE, entry("restarted", EndpointState.READY, NOW_US - 200));
         assertEquals(NOW_US - 200, registry.listed().get(0).warmingUpSinceUs());
     }
 
     @Test
-    void aStartInALaterListCountsFromItsNotification() {
-        update(EndpointListKind.FULL, ready("a"));
+    void warmingUpStartsAtTheNotificationInALaterList() {
+        update(EndpointListKind.COMPLETE, ready("a"));
         update(EndpointListKind.CHANGES, entry("a", EndpointState.READY, NOW_US - 300));
         assertEquals(NOW_US, registry.listed().get(0).warmingUpSinceUs());
     }
 
     @Test
-    void anEntryWithoutStartTimeIsNoNewIncarnation() {
-        update(EndpointListKind.FULL, entry("a", EndpointState.READY, 500));
+    void anEntryWithoutAStartTimeDoesNotBeginANewIncarnation() {
+        update(EndpointListKind.COMPLETE, entry("a", EndpointState.READY, 500));
         update(EndpointListKind.CHANGES, ready("a"));
         assertEquals(500, registry.listed().get(0).incarnationStartedAtUs());
     }
--- a/src/test/java/loadbalancer/policy/health/OutlierDetectorTest.java
+++ b/src/test/java/loadbalancer/policy/health/OutlierDetectorTest.java
@@ -22,12 +22,12 @@
 import loadbalancer.policy.model.EndpointSharing;
 import loadbalancer.policy.model.PendingRequest;
 
-/** Error counts, ejection, probation and restoration by {@link OutlierDetector}. */
+/** Tests error counts, ejection, probation and restoration by {@link OutlierDetector}. */
 class OutlierDetectorTest implements OutlierDetector.Listener {
     private static final long SEED = 3;
     private static final long NOW_US = 10_000_000;
 
-    /** Four, and one more for the failures that these five are themselves among what all endpoints fail in common. */
+    /** The minimum of four, and one more because these failures themselves raise the common failure rate. */
     private static final int FAILURES_TO_EJECT = 5;
 
     private final LoadBalancerSettings settings = PolicyTestObjects.settings();
@@ -40,8 +40,8 @@
     private int errorCountChanges;
 
     @BeforeEach
-    void useAllEndpoints() {
-        detector.findEjected(active);
+    void activateAllEndpoints() {
+        detector.refreshEjectedEndpoints(active);
     }
 
     @Override
@@ -51,7 +51,7 @@
 
     @Override
     public void onEjectionsChanged() {
-        detector.findEjected(active);
+        detector.refreshEjectedEndpoints(active);
     }
 
     private void fail(Endpoint failing, int classIndex, int times) {
@@ -60,9 +60,9 @@
         }
     }
 
-    private void succeed(boolean slow, int times, long nowUs) {
+    private void succeed(boolean isSlow, int times, long nowUs) {
         for (int i = 0; i < times; i++) {
-            detector.onSuccess(endpoint, 0, slow, nowUs);
+            detector.onSuccess(endpoint, 0, isSlow, nowUs);
         }
     }
 
@@ -80,16 +80,16 @@
     }
 
     @Test
-    void forSparseInstancesAQuickSuccessTakesOneErrorOff() {
-        sharing.setInstances(24);
+    void aQuickSuccessRemovesOneErrorIfManyInstancesShareAnEndpoint() {
+        sharing.setInstancesPerEndpoint(24);
         fail(endpoint, 0, 3);
         succeed(false, 1, NOW_US);
         assertEquals(2, endpoint.errorCount());
     }
 
     @Test
-    void forSparseInstancesSlowSuccessesAddUpToEightErrors() {
-        sharing.setInstances(24);
+    void slowSuccessesAddUpToEightErrorsIfManyInstancesShareAnEndpoint() {
+        sharing.setInstancesPerEndpoint(24);
         succeed(true, 1, NOW_US);
         assertEquals(1, endpoint.errorCount());
         succeed(true, 20, NOW_US);
@@ -100,10 +100,10 @@
     void repeatedFailuresEjectAnEndpoint() {
         fail(endpoint, 0, FAILURES_TO_EJECT - 1);
         assertFalse(endpoint.health().isEjected());
-        assertFalse(detector.hasEjected());
+        assertFalse(detector.hasEjectedEndpoints());
         fail(endpoint, 0, 1);
         assertTrue(endpoint.health().isEjected());
-        assertTrue(detector.hasEjected());
+        assertTrue(detector.hasEjectedEndpoints());
         assertEquals(List.of(new EndpointEjected("e0", FAILURES_TO_EJECT, null)), actions.events);
     }
 
@@ -113,7 +113,7 @@
             detector.onFailure(endpoint, 0, false, NOW_US);
         }
         assertEquals(16, endpoint.errorCount());
-        assertFalse(endpoint.isEjectedForAny());
+        assertFalse(endpoint.isEjectedForAnyClass());
     }
 
     @Test
@@ -133,27 +133,27 @@
         }
         assertTrue(active[0].health().isEjected());
         assertTrue(active[1].health().isEjected());
-        assertFalse(active[2].isEjectedForAny());
-        assertFalse(active[3].isEjectedForAny());
+        assertFalse(active[2].isEjectedForAnyClass());
+        assertFalse(active[3].isEjectedForAnyClass());
     }
 
     @Test
     void theFirstEjectionLastsAQuarterOfASecondOnAverage() {
         fail(endpoint, 0, FAILURES_TO_EJECT);
-        assertEquals(250_000, endpoint.health().ejectionUs());
+        assertEquals(250_000, endpoint.health().ejectionDurationUs());
         assertEquals(
                 NOW_US + 125_000 + new SplittableRandom(SEED).nextLong(250_000),
                 endpoint.health().probationAtUs());
     }
 
     @Test
-    void everyFailureDuringAnEjectionDoublesItUpToFourSeconds() {
+    void everyFailureDuringAnEjectionDoublesItsDurationUpToFourSeconds() {
         fail(endpoint, 0, FAILURES_TO_EJECT + 1);
-        assertEquals(500_000, endpoint.health().ejectionUs());
+        assertEquals(500_000, endpoint.health().ejectionDurationUs());
         fail(endpoint, 0, 3);
-        assertEquals(4_000_000, endpoint.health().ejectionUs());
+        assertEquals(4_000_000, endpoint.health().ejectionDurationUs());
         fail(endpoint, 0, 1);
-        assertEquals(4_000_000, endpoint.health().ejectionUs());
+        assertEquals(4_000_000, endpoint.health().ejectionDurationUs());
     }
 
     @Test
@@ -162,18 +162,18 @@
         succeed(false, 2, NOW_US + 1_000_000);
         assertTrue(endpoint.health().isEjected());
         succeed(false, 1, NOW_US + 1_000_000);
-        assertFalse(endpoint.isEjectedForAny());
-        assertFalse(detector.hasEjected());
+        assertFalse(endpoint.isEjectedForAnyClass());
+        assertFalse(detector.hasEjectedEndpoints());
         assertEquals(0, endpoint.errorCount());
         assertEquals(new EndpointRestored("e0", false), actions.events.get(1));
     }
 
     @Test
-    void aResetForgetsErrorsAndEjections() {
+    void aResetClearsErrorsAndEjections() {
         fail(endpoint, 0, FAILURES_TO_EJECT);
         detector.resetHistory(endpoint);
         assertEquals(0, endpoint.errorCount());
-        assertFalse(endpoint.isEjectedForAny());
+        assertFalse(endpoint.isEjectedForAnyClass());
     }
 
     @Test
@@ -181,33 +181,33 @@
         fail(endpoint, 0, FAILURES_TO_EJECT);
         PendingRequest request = request(PolicyTestObjects.KEY_DEDUPLICATED_EVERYWHERE);
         long probationAtUs = endpoint.health().probationAtUs();
-        assertNull(detector.findForProbation(request, any -> true, probationAtUs - 1));
-        assertSame(endpoint, detector.findForProbation(request, any -> true, probationAtUs));
-        assertNull(detector.findForProbation(request, any -> false, probationAtUs));
+        assertNull(detector.findProbationEndpoint(request, any -> true, probationAtUs - 1));
+        assertSame(endpoint, detector.findProbationEndpoint(request, any -> true, probationAtUs));
+        assertNull(detector.findProbationEndpoint(request, any -> false, probationAtUs));
     }
 
     @Test
-    void onlyOneProbationAttemptIsInFlight() {
+    void noProbationAttemptIsMadeWhileARequestIsInFlight() {
         fail(endpoint, 0, FAILURES_TO_EJECT);
-        endpoint.concurrency().increment();
-        assertNull(detector.findForProbation(
+        endpoint.concurrency().incrementInFlight();
+        assertNull(detector.findProbationEndpoint(
                 request(0), any -> true, endpoint.health().probationAtUs()));
     }
 
     @Test
     void nonIdempotentRequestsMakeNoProbationAttemptsAtAnEndpointEjectedForAllClasses() {
         fail(endpoint, PolicyTestObjects.NON_IDEMPOTENT, FAILURES_TO_EJECT);
-        assertNull(detector.findForProbation(
+        assertNull(detector.findProbationEndpoint(
                 request(PolicyTestObjects.NON_IDEMPOTENT), any -> true, NOW_US + 1_000_000_000));
     }
 
     @Test
-    void probationOfANonIdempotentClassComesFourEjectionsLater() {
+    void probationOfANonIdempotentClassIsDelayedByFourEjectionTimes() {
         detector.onSuccess(endpoint, 0, false, NOW_US);
         fail(endpoint, PolicyTestObjects.NON_IDEMPOTENT, FAILURES_TO_EJECT);
         long probationAtUs = endpoint.healthOf(PolicyTestObjects.NON_IDEMPOTENT).probationAtUs() + 4 * 250_000;
         PendingRequest request = request(PolicyTestObjects.NON_IDEMPOTENT);
-        assertNull(detector.findForProbation(request, any -> true, probationAtUs - 1));
-        assertSame(endpoint, detector.findForProbation(request, any -> true, probationAtUs));
+        assertNull(detector.findProbationEndpoint(request, any -> true, probationAtUs - 1));
+        assertSame(endpoint, detector.findProbationEndpoint(request, any -> true, probationAtUs));
     }
 }
--- a/src/test/java/loadbalancer/policy/selection/EndpointPickerTest.java
+++ b/src/test/java/loadbalancer/policy/selection/EndpointPickerTest.java
@@ -19,7 +19,7 @@
 import loadbalancer.policy.model.Endpoint;
 import loadbalancer.policy.model.PendingRequest;
 
-/** Picks at random, in list order, by zone and by key of {@link EndpointPicker}. */
+/** Tests the picks of {@link EndpointPicker}: at random, in list order, by zone and by key. */
 class EndpointPickerTest {
     private static final long NOW_US = 1_000;
 
@@ -29,7 +29,7 @@
     private EndpointPicker picker(Endpoint[] active, long seed) {
         EndpointPicker picker = new EndpointPicker(
                 settings, new SplittableRandom(seed), (request, endpoint, nowUs) -> !notPermitted.contains(endpoint));
-        picker.setActive(active);
+        picker.setActiveEndpoints(active);
         return picker;
     }
 
@@ -46,15 +46,15 @@
     }
 
     @Test
-    void withoutEndpointsNothingIsPicked() {
+    void nothingIsPickedWithoutEndpoints() {
         assertNull(picker(new Endpoint[0], 1).pick(request(), NOW_US));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void ofTwoEndpointsTheOneWithFewerRequestsInFlightIsPicked(long seed) {
+    void theEndpointWithFewerRequestsInFlightIsPicked(long seed) {
         Endpoint[] active = endpoints(2);
-        active[0].concurrency().increment();
+        active[0].concurrency().incrementInFlight();
         assertSame(active[1], picker(active, seed).pick(request(), NOW_US));
     }
 
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aRetryGoesToTheNextEndpointInListOrderThatWasNotTried() {
+    void aRetryPicksTheNextUntriedEndpointInListOrder() {
         Endpoint[] active = endpoints(4);
         EndpointPicker picker = picker(active, 1);
         PendingRequest request = request();
@@ -85,19 +85,19 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void localEndpointsArePickedWhereCrossingZonesHasACost(long seed) {
+    void localEndpointsArePickedIfCrossingZonesHasACost(long seed) {
         settings.crossZoneCost = 0.1;
         Endpoint[] active = endpointsInZones(0, 1, 1, 1);
         assertSame(active[0], picker(active, seed).pick(request(), NOW_US));
     }
 
     @Test
-    void aRemoteEndpointWithTwoRequestsLessInFlightIsPicked() {
+    void aRemoteEndpointWithTwoFewerRequestsInFlightIsPicked() {
         settings.crossZoneCost = 0.1;
         Endpoint[] active = endpointsInZones(0, 1);
-        active[0].concurrency().increment();
+        active[0].concurrency().incrementInFlight();
         assertSame(active[0], picker(active, 1).pick(request(), NOW_US));
-        active[0].concurrency().increment();
+        active[0].concurrency().incrementInFlight();
         assertSame(active[1], picker(active, 1).pick(request(), NOW_US));
     }
 
@@ -129,15 +129,15 @@
     }
 
     @Test
-    void theSecondPickOfAKeyIsTakenWhileTheFirstHasMoreRequestsInFlight() {
+    void theSecondPickOfAKeyIsUsedWhileTheFirstHasMoreRequestsInFlight() {
         settings.endpointsCacheKeys = true;
         Endpoint[] active = endpoints(10);
         EndpointPicker picker = picker(active, 1);
         Endpoint first = picker.pick(requestWithKey("key"), NOW_US);
-        first.concurrency().increment();
+        first.concurrency().incrementInFlight();
         Endpoint second = picker.pick(requestWithKey("key"), NOW_US);
         assertNotSame(first, second);
-        second.concurrency().increment();
+        second.concurrency().incrementInFlight();
         assertSame(first, picker.pick(requestWithKey("key"), NOW_US));
     }
 
@@ -150,7 +150,7 @@
         Endpoint first = picker.pick(request, NOW_US);
         request.endAttempt(request.startAttempt(first, NOW_US), AttemptResult.REJECTED);
         Endpoint second = picker.pickForRetry(request, first, NOW_US);
-        first.concurrency().increment();
+        first.concurrency().incrementInFlight();
         assertSame(picker.pick(requestWithKey("key"), NOW_US), second);
     }
 
--- a/src/test/java/loadbalancer/policy/selection/EndpointSubsetTest.java
+++ b/src/test/java/loadbalancer/policy/selection/EndpointSubsetTest.java
@@ -13,7 +13,7 @@
 import loadbalancer.policy.model.Endpoint;
 import loadbalancer.policy.model.EndpointSharing;
 
-/** Size, order and zones of the subsets of {@link EndpointSubset}. */
+/** Tests the size, order and zones of the subsets that {@link EndpointSubset} selects. */
 class EndpointSubsetTest {
     private final LoadBalancerSettings settings = PolicyTestObjects.settings();
     private final EndpointSharing sharing = new EndpointSharing(1);
@@ -21,10 +21,10 @@
     private Endpoint[] subset(int instances, int instanceIndex, Endpoint[] ready) {
         settings.instances = instances;
         settings.instanceIndex = instanceIndex;
-        return new EndpointSubset(settings, sharing).of(ready);
+        return new EndpointSubset(settings, sharing).selectFrom(ready);
     }
 
-    private Endpoint[] inTwoZones(int count) {
+    private Endpoint[] endpointsInTwoZones(int count) {
         Endpoint[] endpoints = new Endpoint[count];
         for (int i = 0; i < count; i++) {
             endpoints[i] = PolicyTestObjects.endpoint(settings, "e" + i, i % 2, 0);
@@ -36,14 +36,14 @@
     void upToTwentyFourInstancesUseAllEndpoints() {
         Endpoint[] ready = PolicyTestObjects.activeEndpoints(settings, 40);
         assertArrayEquals(ready, subset(24, 3, ready));
-        assertEquals(24, sharing.instances());
+        assertEquals(24, sharing.instancesPerEndpoint());
     }
 
     @Test
     void inALargeFleetTwentyFourInstancesShareAnEndpoint() {
         Endpoint[] ready = PolicyTestObjects.activeEndpoints(settings, 40);
         assertEquals(4, subset(240, 3, ready).length);
-        assertEquals(24, sharing.instances());
+        assertEquals(24, sharing.instancesPerEndpoint());
     }
 
     @Test
@@ -62,24 +62,25 @@
     }
 
     @Test
-    void aSubsetHasFourEndpointsIfNotTooManyInstancesShareThemAndTwoElse() {
+    void aSubsetHasFourEndpointsUnlessTooManyInstancesWouldShareThem() {
         Endpoint[] ready = PolicyTestObjects.activeEndpoints(settings, 40);
-        // An even share would be two, of which a subset may have twice as many up to four.
+        // With 24 instances per endpoint a subset would have two endpoints. The minimum of four applies only if no
+        // more than 48 instances share an endpoint then.
         assertEquals(4, subset(480, 3, ready).length);
         assertEquals(2, subset(480, 3, Arrays.copyOf(ready, 8)).length);
         assertEquals(1, subset(480, 3, Arrays.copyOf(ready, 1)).length);
     }
 
     @Test
-    void withoutEndpointsTheSubsetIsEmpty() {
+    void theSubsetIsEmptyWithoutEndpoints() {
         assertEquals(0, subset(240, 3, new Endpoint[0]).length);
-        assertEquals(1, sharing.instances());
+        assertEquals(1, sharing.instancesPerEndpoint());
     }
 
     @Test
-    void whereCrossingZonesHasACostLocalEndpointsAreTheLargerPart() {
+    void mostOfTheSubsetIsLocalIfCrossingZonesHasACost() {
         settings.crossZoneCost = 0.1;
-        Endpoint[] subset = subset(240, 3, inTwoZones(80));
+        Endpoint[] subset = subset(240, 3, endpointsInTwoZones(80));
         long local =
                 Arrays.stream(subset).filter(endpoint -> endpoint.zone() == 0).count();
         assertEquals(8, local);
@@ -92,10 +93,10 @@
         settings.instances = 240;
         settings.instanceIndex = 3;
         EndpointSubset subset = new EndpointSubset(settings, sharing);
-        Endpoint[] before = subset.of(ready);
+        Endpoint[] before = subset.selectFrom(ready);
         Endpoint[] remaining =
                 Arrays.stream(ready).filter(endpoint -> endpoint != before[0]).toArray(Endpoint[]::new);
-        Endpoint[] after = subset.of(remaining);
+        Endpoint[] after = subset.selectFrom(remaining);
         assertEquals(4, after.length);
         assertTrue(Arrays.stream(after).noneMatch(before[0]::equals));
     }
--- a/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/loadbalancer/proxy/discovery/DiscoveryClientTest.java
@@ -19,13 +19,13 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** The calls of {@link DiscoveryClient} and which lists it applies. */
+/** Tests which calls {@link DiscoveryClient} opens and closes, and which lists it applies. */
 class DiscoveryClientTest {
     private static final DiscoveryCallTiming SHORT_TIMING = new DiscoveryCallTiming(50_000, 100_000, 0, 1_000);
 
     @Test
     void nextWatchRequestsChangesAfterTheLastVersion() throws Exception {
-        try (ProxyFixture proxy = ProxyFixture.silent()) {
+        try (ProxyFixture proxy = ProxyFixture.withSilentDiscovery()) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             assertEquals(
                     "/discovery/hosts?watch=1&after=41",
@@ -47,16 +47,19 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void lowerVersionIsDroppedAndTheCompleteListRequested(boolean complete) throws Exception {
-        try (ProxyFixture proxy = ProxyFixture.silent()) {
+    void listOfALowerVersionIsDroppedAndTheCompleteListIsRequested(boolean isComplete) throws Exception {
+        try (ProxyFixture proxy = ProxyFixture.withSilentDiscovery()) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             ScriptedHttpServer.next(proxy.discovery.requests);
             ScriptedHttpServer.Peer peer = ScriptedHttpServer.next(proxy.discovery.peers);
             peer.write(ProxyFixture.chunk(
                     ProxyFixture.list(43, false, "s0=10.0.0.1:80=Terminating") + "\n" + ProxyFixture.list(43, false)
-                            + "\n" + ProxyFixture.list(42, complete, RecordedDiscovery.ENTRY) + "\n"));
+                            + "\n" + ProxyFixture.list(42, isComplete, RecordedDiscovery.ENTRY) + "\n"));
             assertEquals("43 changes 1", ScriptedHttpServer.next(recorded.events));
-            assertEquals("43 changes 0", ScriptedHttpServer.next(recorded.events), "the same version again is applied");
+            assertEquals(
+                    "43 changes 0",
+                    ScriptedHttpServer.next(recorded.events),
+                    "a list with the same version is applied");
             assertEquals(RecordedDiscovery.CALL_ENDED, ScriptedHttpServer.next(recorded.events));
             assertEquals(
                     "/discovery/hosts?watch=1",
@@ -64,13 +67,15 @@
             ScriptedHttpServer.next(proxy.discovery.peers)
                     .write(ProxyFixture.chunk(ProxyFixture.list(7, true, RecordedDiscovery.ENTRY)));
             assertEquals(
-                    "7 complete 1", ScriptedHttpServer.next(recorded.events), "discovery has restarted its versions");
+                    "7 complete 1",
+                    ScriptedHttpServer.next(recorded.events),
+                    "a complete list after a restart of the versions is applied");
         }
     }
 
     @Test
     void heartbeatAsTheFirstMessageConfirmsTheCachedList() throws Exception {
-        try (ProxyFixture proxy = ProxyFixture.silent()) {
+        try (ProxyFixture proxy = ProxyFixture.withSilentDiscovery()) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             ScriptedHttpServer.next(proxy.discovery.peers)
                     .write(ProxyFixture.chunk("\n")
@@ -81,17 +86,17 @@
         }
     }
 
-    /** Calls are opened beside an unresponsive one, which is closed once there are too many. */
+    /** Asserts that calls are opened beside an unresponsive one, and that one is closed once too many are pending. */
     private static void assertFurtherCallsAreOpenedAndOneIsClosed(ProxyFixture proxy) throws Exception {
         for (int call = 1; call <= 4; call++) {
             ScriptedHttpServer.next(proxy.discovery.requests);
         }
-        ScriptedHttpServer.next(proxy.discovery.ended);
+        ScriptedHttpServer.next(proxy.discovery.closedConnections);
     }
 
     @Test
     void unresponsiveCallIsHedgedAndClosed() throws Exception {
-        try (ProxyFixture proxy = ProxyFixture.silent()) {
+        try (ProxyFixture proxy = ProxyFixture.withSilentDiscovery()) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, SHORT_TIMING);
             assertFurtherCallsAreOpenedAndOneIsClosed(proxy);
             assertTrue(recorded.events.isEmpty());
@@ -101,8 +106,8 @@
     @Test
     void callWithBytesButWithoutAMessageIsUnresponsive() throws Exception {
         try (ProxyFixture proxy = new ProxyFixture(new ScriptedHttpServer((request, peer) -> {
-            peer.write(ProxyFixture.watchHead());
-            // Bytes of an object without an end are not a message.
+            peer.write(ProxyFixture.watchResponseHead());
+            // Bytes of an incomplete object do not count as a message.
             peer.write(ProxyFixture.chunk("{\"rev\":"));
             while (true) {
                 peer.write(ProxyFixture.chunk(" "));
@@ -118,7 +123,7 @@
     void unresponsiveWatchStaysOpenUntilAnotherCallHasAMessage() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (ProxyFixture proxy = new ProxyFixture(new ScriptedHttpServer((request, peer) -> {
-            peer.write(ProxyFixture.watchHead());
+            peer.write(ProxyFixture.watchResponseHead());
             if (calls.getAndIncrement() == 0) {
                 peer.write(ProxyFixture.chunk(ProxyFixture.list(42, false, RecordedDiscovery.ENTRY) + "\n"));
             }
@@ -130,35 +135,41 @@
             ScriptedHttpServer.Peer hedged = ScriptedHttpServer.next(proxy.discovery.peers);
             unresponsive.write(ProxyFixture.chunk(ProxyFixture.list(43, false, RecordedDiscovery.ENTRY) + "\n"));
             assertEquals("43 changes 1", ScriptedHttpServer.next(recorded.events));
-            assertEquals(hedged, ScriptedHttpServer.next(proxy.discovery.ended), "the watch has sent another message");
+            assertEquals(
+                    hedged,
+                    ScriptedHttpServer.next(proxy.discovery.closedConnections),
+                    "the pending call is closed because the watch has received a message");
             ScriptedHttpServer.Peer next = ScriptedHttpServer.next(proxy.discovery.peers);
             next.write(ProxyFixture.chunk(ProxyFixture.list(44, false, RecordedDiscovery.ENTRY) + "\n"));
             assertEquals("44 changes 1", ScriptedHttpServer.next(recorded.events));
             assertEquals(
-                    unresponsive, ScriptedHttpServer.next(proxy.discovery.ended), "a newer call has become the watch");
+                    unresponsive,
+                    ScriptedHttpServer.next(proxy.discovery.closedConnections),
+                    "the previous watch is closed because a newer call has become the watch");
         }
     }
 
     @Test
-    void leaseIsShorterThanThePollIntervalAndTheGrace() {
+    void leaseIsShorterThanTheSumOfPollIntervalAndGrace() {
         LoadBalancerSettings settings = RecordedDiscovery.polledSettings();
         settings.pollIntervalUs = 3_000_000;
         long termUs = EndpointListLeaseTerms.of(settings).afterConfirmationUs();
-        assertTrue(termUs < settings.pollIntervalUs + settings.drainGraceUs, termUs + " us");
+        assertTrue(
+                termUs < settings.pollIntervalUs + settings.drainGraceUs, "the lease is valid for " + termUs + " us");
     }
 
     @Test
-    void rejectedCallIsRetriedAndItsListApplied() throws Exception {
+    void listIsAppliedAfterARejectedCallIsRetried() throws Exception {
         AtomicInteger calls = new AtomicInteger();
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
                 ScriptedHttpServer discovery = new ScriptedHttpServer((request, peer) -> peer.write(
                         calls.getAndIncrement() == 0
-                                ? HttpMessages.answer("503 Busy", "", "")
-                                : ProxyFixture.watchHead()
+                                ? HttpMessages.response("503 Busy", "", "")
+                                : ProxyFixture.watchResponseHead()
                                         + ProxyFixture.chunk(
                                                 ProxyFixture.list(2, true, "s0=" + upstream.endpoint() + "=Ready")
                                                         + "\n")));
-                ProxyFixture proxy = new ProxyFixture(discovery).startKnowing(ProxyFixture.list(1, true))) {
+                ProxyFixture proxy = new ProxyFixture(discovery).startWithCachedList(ProxyFixture.list(1, true))) {
             assertEquals(
                     200, proxy.ask(HttpMessages.page("/api/p", "t", "5000m")).status());
             assertEquals(2, calls.get());
@@ -166,10 +177,11 @@
     }
 
     @Test
-    void completeListIsRequestedAfterAMoveWithoutAFailedCall() throws Exception {
-        try (ProxyFixture proxy = ProxyFixture.silent();
-                ScriptedHttpServer moved = new ScriptedHttpServer((request, peer) -> peer.write(ProxyFixture.watchHead()
-                        + ProxyFixture.chunk(ProxyFixture.list(7, true, RecordedDiscovery.ENTRY) + "\n")))) {
+    void completeListIsRequestedFromTheNewAddressOfDiscoveryWithoutAFailedCall() throws Exception {
+        try (ProxyFixture proxy = ProxyFixture.withSilentDiscovery();
+                ScriptedHttpServer moved =
+                        new ScriptedHttpServer((request, peer) -> peer.write(ProxyFixture.watchResponseHead()
+                                + ProxyFixture.chunk(ProxyFixture.list(7, true, RecordedDiscovery.ENTRY) + "\n")))) {
             RecordedDiscovery recorded = RecordedDiscovery.start(proxy, RecordedDiscovery.DEFAULT_TIMING);
             ScriptedHttpServer.next(proxy.discovery.requests);
             InetSocketAddress newAddress = ProxyConfiguration.parseAddress("discovery", moved.endpoint());
@@ -178,16 +190,16 @@
                     "/discovery/hosts?watch=1",
                     ScriptedHttpServer.next(moved.requests).path());
             assertEquals("7 complete 1", ScriptedHttpServer.next(recorded.events));
-            ScriptedHttpServer.next(proxy.discovery.ended);
-            // A move to the same address keeps the watch; a later call goes to the new address too.
+            ScriptedHttpServer.next(proxy.discovery.closedConnections);
+            // A move to the same address keeps the watch open. The next call goes to the new address too.
             proxy.loop.execute(() -> recorded.client.moveTo(newAddress, new SystemClock().nowUs()));
             ScriptedHttpServer.next(moved.peers).reset();
             assertEquals(RecordedDiscovery.CALL_ENDED, ScriptedHttpServer.next(recorded.events));
             assertEquals(
                     "/discovery/hosts?watch=1&after=7",
                     ScriptedHttpServer.next(moved.requests).path());
-            assertEquals(2, moved.connections.get());
-            assertEquals(1, proxy.discovery.connections.get());
+            assertEquals(2, moved.acceptedCount.get());
+            assertEquals(1, proxy.discovery.acceptedCount.get());
         }
     }
 
@@ -197,7 +209,7 @@
                 ScriptedHttpServer ready = ScriptedHttpServer.serving("ready");
                 ScriptedHttpServer agent = new ScriptedHttpServer((request, peer) -> {
                     if (request.path().endsWith("after=1")) {
-                        peer.write(ProxyFixture.watchHead()
+                        peer.write(ProxyFixture.watchResponseHead()
                                 + ProxyFixture.chunk(ProxyFixture.list(
                                                 2,
                                                 false,
@@ -205,19 +217,19 @@
                                                 "s1=" + ready.endpoint() + "=Ready")
                                         + "\n"));
                     } else {
-                        peer.write(ProxyFixture.watchHead() + ProxyFixture.chunk("\n"));
+                        peer.write(ProxyFixture.watchResponseHead() + ProxyFixture.chunk("\n"));
                     }
                 });
                 ProxyFixture proxy = new ProxyFixture(agent)) {
             proxy.settings.endpointListPolled = false;
-            proxy.startKnowing(ProxyFixture.list(1, true, "s0=" + draining.endpoint() + "=Ready"));
+            proxy.startWithCachedList(ProxyFixture.list(1, true, "s0=" + draining.endpoint() + "=Ready"));
             assertEquals(
                     "ready",
                     proxy.ask(HttpMessages.page("/api/p", "t", "5000m")).body());
             assertEquals(
                     "/discovery/hosts?watch=1&after=1",
                     ScriptedHttpServer.next(agent.requests).path());
-            // A watch that ends is opened again without an action of the policy.
+            // The client opens a new watch after a reset without an action of the policy.
             ScriptedHttpServer.next(agent.peers).reset();
             assertEquals(
                     "/discovery/hosts?watch=1&after=2",
@@ -226,23 +238,23 @@
             assertEquals(
                     "/discovery/hosts?watch=1&after=2",
                     ScriptedHttpServer.next(agent.requests).path());
-            assertEquals(0, draining.connections.get());
+            assertEquals(0, draining.acceptedCount.get());
         }
     }
 
-    /** The changes of an agent count as notified at once, so the cached list gives no lease. */
+    /** Changes that an agent pushes count as notified immediately, so the cached list does not grant a lease. */
     @Test
-    void proxyIsNotReadyAndRejectsRequestsWithoutTheAgentThatPushesLists() throws Exception {
+    void proxyIsNotReadyAndRejectsRequestsIfTheAgentIsNotReachable() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.silent()) {
+                ProxyFixture proxy = ProxyFixture.withSilentDiscovery()) {
             proxy.settings.endpointListPolled = false;
             proxy.discovery.stop();
-            proxy.startUnconfirmed(ProxyFixture.list(1, true, "s0=" + upstream.endpoint() + "=Ready"));
+            proxy.startWithoutLease(ProxyFixture.list(1, true, "s0=" + upstream.endpoint() + "=Ready"));
             assertEquals(503, proxy.ask(HttpMessages.page("/up", "t", "5000m")).status());
             HttpMessages.Message rejection = proxy.ask(HttpMessages.page("/api/p", "t", "5000m"));
             assertEquals(503, rejection.status());
             assertEquals("0.25", rejection.headers().get("retry-after"));
-            assertEquals(0, upstream.connections.get());
+            assertEquals(0, upstream.acceptedCount.get());
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/downstream/ConnectionEvictionTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/ConnectionEvictionTest.java
@@ -16,13 +16,13 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** Connections that are evicted for others. */
+/** Client connections that are evicted to free their descriptors for others. */
 class ConnectionEvictionTest {
     @Test
     void longestIdleConnectionIsEvictedForANewOne() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet()) {
-            proxy.sockets = 64;
+                ProxyFixture proxy = ProxyFixture.withHeartbeat()) {
+            proxy.maxDescriptors = 64;
             proxy.start(upstream);
             Socket first = proxy.connect();
             assertEquals(
@@ -37,20 +37,24 @@
     @Test
     void numberOfIdleConnectionsIsLimited() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
-            Socket usual = proxy.connect();
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
+            Socket activeClient = proxy.connect();
             Socket first = proxy.connect();
             assertEquals(
                     200, ProxyFixture.ask(first, HttpMessages.page("first")).status());
-            // Far fewer connections than the descriptors allow.
-            for (int i = 0; i < proxy.sockets / 6; i++) {
+            // Exceeds the limit on idle connections with far fewer connections than the descriptors allow.
+            for (int i = 0; i < proxy.maxDescriptors / 6; i++) {
                 assertEquals(
-                        200, ProxyFixture.ask(usual, HttpMessages.page("u" + i)).status());
+                        200,
+                        ProxyFixture.ask(activeClient, HttpMessages.page("u" + i))
+                                .status());
                 assertEquals(200, proxy.ask(HttpMessages.page("t" + i)).status());
             }
             first.setSoTimeout(2_000);
             assertEquals(-1, first.getInputStream().read(), "evicted long before the keep-alive timeout");
-            assertEquals(200, ProxyFixture.ask(usual, HttpMessages.page("last")).status());
+            assertEquals(
+                    200,
+                    ProxyFixture.ask(activeClient, HttpMessages.page("last")).status());
         }
     }
 
@@ -69,21 +73,21 @@
     void numberOfIdleConnectionsIsLimitedAfterABurst() throws Exception {
         CountDownLatch respond = new CountDownLatch(1);
         try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(respond, "x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
-            int maxIdle = proxy.sockets / 6;
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
+            int maxIdle = proxy.maxDescriptors / 6;
             List<Socket> clients = new ArrayList<>();
             for (int i = 0; i < 2 * maxIdle; i++) {
                 Socket client = proxy.connect();
                 ProxyFixture.write(client, HttpMessages.page("/api/p", "t" + i, "5000m"));
                 clients.add(client);
             }
-            proxy.awaitRead();
+            proxy.awaitPriorInputRead();
             respond.countDown();
             for (Socket client : clients) {
                 HttpMessages.read(client.getInputStream());
                 client.setSoTimeout(1);
             }
-            // Which connections are evicted depends on the order of the responses.
+            // The order of the responses decides which connections are evicted.
             while (clients.size() > maxIdle) {
                 clients.removeIf(ConnectionEvictionTest::isClosed);
             }
@@ -96,17 +100,19 @@
     @Test
     void unusedConnectionsAreEvictedBeforeIdleOnes() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet()) {
-            proxy.sockets = 64;
+                ProxyFixture proxy = ProxyFixture.withHeartbeat()) {
+            proxy.maxDescriptors = 64;
             proxy.start(upstream);
-            Socket usual = proxy.connect();
-            assertEquals(200, ProxyFixture.ask(usual, HttpMessages.page("a")).status());
-            Socket silent = proxy.connect();
+            Socket activeClient = proxy.connect();
+            assertEquals(
+                    200, ProxyFixture.ask(activeClient, HttpMessages.page("a")).status());
+            Socket unused = proxy.connect();
             for (int i = 0; i < 100; i++) {
                 proxy.connect();
             }
-            assertEquals(-1, silent.getInputStream().read());
-            assertEquals(200, ProxyFixture.ask(usual, HttpMessages.page("b")).status());
+            assertEquals(-1, unused.getInputStream().read());
+            assertEquals(
+                    200, ProxyFixture.ask(activeClient, HttpMessages.page("b")).status());
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/downstream/InvalidRequestTest.java
+++ b/src/test/java/loadbalancer/proxy/downstream/InvalidRequestTest.java
@@ -13,7 +13,10 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** Requests that violate the protocol or its limits. */
+/**
+ * Requests that violate the protocol or its limits. They must not reach an endpoint, and the bytes after them must not
+ * be treated as a further request.
+ */
 class InvalidRequestTest {
     @ParameterizedTest
     @ValueSource(
@@ -34,9 +37,9 @@
             })
     void invalidRequestGets400AndIsNotForwarded(String lines) throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             assertEquals(400, proxy.ask(lines.replace("|", "\r\n") + "\r\n\r\n").status());
-            assertEquals(0, upstream.connections.get());
+            assertEquals(0, upstream.acceptedCount.get());
             assertEquals(200, proxy.ask(HttpMessages.page("next")).status(), "the proxy still serves requests");
         }
     }
@@ -44,17 +47,17 @@
     @Test
     void unknownPathGets404AndIsNotForwarded() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             assertEquals(
                     404, proxy.ask(HttpMessages.page("/apis/x", "t", "400m")).status());
-            assertEquals(0, upstream.connections.get());
+            assertEquals(0, upstream.acceptedCount.get());
         }
     }
 
     @Test
-    void bodyOver64KiBGets413AndOneOfExactlyThatIsForwarded() throws Exception {
+    void bodyOver64KiBGets413AndBodyOfExactly64KiBIsForwarded() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             String order = HttpMessages.order("t", "4000m");
             String largest = HttpMessages.order("t", "4000m", "a".repeat(65_536));
             assertEquals(200, proxy.ask(largest).status());
@@ -67,12 +70,12 @@
     @Test
     void responseToAnOversizedBodyIsDeliveredWhileTheBodyArrives() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.order("t", "4000m", "a".repeat(8_000_000)));
             assertEquals(413, HttpMessages.read(client.getInputStream()).status());
             assertEquals(-1, client.getInputStream().read());
-            assertEquals(0, upstream.connections.get());
+            assertEquals(0, upstream.acceptedCount.get());
         }
     }
 
@@ -95,7 +98,7 @@
             })
     void ambiguousFramingGets400AndClosesTheConnection(String framing) throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(
                     client,
@@ -104,19 +107,19 @@
                             .replace("ab", "0\r\n\r\n" + HttpMessages.page("hidden")));
             assertEquals(400, HttpMessages.read(client.getInputStream()).status());
             assertEquals(-1, client.getInputStream().read());
-            assertEquals(0, upstream.connections.get());
+            assertEquals(0, upstream.acceptedCount.get());
         }
     }
 
     @Test
     void noPipelinedRequestIsServedAfterAnInvalidOne() throws Exception {
         try (ScriptedHttpServer upstream = ScriptedHttpServer.serving("x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.page("/api/p", "t", "soon") + HttpMessages.page("u"));
             assertEquals(400, HttpMessages.read(client.getInputStream()).status());
             assertEquals(-1, client.getInputStream().read());
-            assertEquals(0, upstream.connections.get());
+            assertEquals(0, upstream.acceptedCount.get());
         }
     }
 
@@ -124,13 +127,13 @@
     void oversizedPipelinedRequestDoesNotAffectTheOpenOne() throws Exception {
         CountDownLatch respond = new CountDownLatch(1);
         try (ScriptedHttpServer upstream = ScriptedHttpServer.servingFrom(respond, "x");
-                ProxyFixture proxy = ProxyFixture.quiet().start(upstream)) {
+                ProxyFixture proxy = ProxyFixture.withHeartbeat().start(upstream)) {
             Socket client = proxy.connect();
             ProxyFixture.write(client, HttpMessages.page("/api/p", "t", "5000m"));
             ScriptedHttpServer.next(upstream.requests);
             ProxyFixture.write(client, HttpMessages.order("u", "4000m").replace("Length: 2", "Length: 90000"));
-            // Once a later request has its response, the proxy has read this one.
-            proxy.awaitRead();
+            // Waits until the proxy has read the oversized request.
+            proxy.awaitPriorInputRead();
             respond.countDown();
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
             assertEquals(413, HttpMessages.read(client.getInputStream()).status());
--- a/src/test/java/loadbalancer/proxy/lifecycle/DeadlineTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/DeadlineTest.java
@@ -13,7 +13,7 @@
 import loadbalancer.testsupport.ScriptedHttpServer;
 import loadbalancer.testsupport.SteppedClock;
 
-/** Deadlines: from when they count, what is passed on, and what is no longer sent. */
+/** Deadlines of pipelined requests, which count from the arrival of the request. */
 @Timeout(60)
 class DeadlineTest {
     private static final long SECOND_US = 1_000_000;
@@ -24,43 +24,45 @@
     }
 
     @Test
-    void aPipelinedRequestHasItsTimeFromItsLastByteAndNotFromItsTurn() throws Exception {
+    void deadlineOfAPipelinedRequestCountsFromItsLastByte() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
         SteppedClock clock = new SteppedClock();
         try (ScriptedHttpServer server = ScriptedHttpServer.servingFrom(first, "x");
-                ProxyFixture site = ProxyFixture.quiet()) {
-            site.clock = clock;
-            site.start(server);
-            Socket client = site.connect();
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.clock = clock;
+            fixture.start(server);
+            Socket client = fixture.connect();
             ProxyFixture.write(
                     client,
                     HttpMessages.page("/api/p", "first", "100000m") + HttpMessages.page("/api/p", "second", "30000m"));
             ScriptedHttpServer.next(server.requests);
-            site.awaitRead();
+            fixture.awaitPriorInputRead();
             clock.advance(20 * SECOND_US);
-            ScriptedHttpServer.next(site.discovery.peers).write(ProxyFixture.chunk("\n"));
-            site.awaitLease();
+            ScriptedHttpServer.next(fixture.discovery.peers).write(ProxyFixture.chunk("\n"));
+            fixture.awaitLease();
             first.countDown();
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
             long remaining = remainingUs(ScriptedHttpServer.next(server.requests));
-            assertTrue(remaining <= 10 * SECOND_US, "30 s, of which 20 have passed, but " + remaining + " us");
+            assertTrue(
+                    remaining <= 10 * SECOND_US,
+                    "at most 10 s of 30 s must remain after 20 s, but " + remaining + " us remain");
         }
     }
 
     @Test
-    void aPipelinedRequestWhoseTimeIsOverAtItsTurnIsNotSent() throws Exception {
+    void pipelinedRequestIsNotSentAfterItsDeadline() throws Exception {
         CountDownLatch first = new CountDownLatch(1);
         SteppedClock clock = new SteppedClock();
         try (ScriptedHttpServer server = ScriptedHttpServer.servingFrom(first, "x");
-                ProxyFixture site = ProxyFixture.quiet()) {
-            site.clock = clock;
-            site.start(server);
-            Socket client = site.connect();
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.clock = clock;
+            fixture.start(server);
+            Socket client = fixture.connect();
             ProxyFixture.write(
                     client, HttpMessages.page("/api/p", "first", "100000m") + HttpMessages.order("second", "10000m"));
             ScriptedHttpServer.next(server.requests);
-            site.awaitRead();
+            fixture.awaitPriorInputRead();
             clock.advance(20 * SECOND_US);
             first.countDown();
             assertEquals(200, HttpMessages.read(client.getInputStream()).status());
--- a/src/test/java/loadbalancer/proxy/lifecycle/LeaseEnforcementTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/LeaseEnforcementTest.java
@@ -17,82 +17,84 @@
 import loadbalancer.testsupport.ScriptedHttpServer;
 import loadbalancer.testsupport.SteppedClock;
 
-/** What a node does while nothing vouches for its server list, and as that begins and ends. */
+/** A node sends requests to endpoints only while it holds a lease on its endpoint list. */
 @Timeout(60)
 class LeaseEnforcementTest {
-    private static final long PAST_LEASE_US = 20_000_000;
+    private static final long LONGER_THAN_LEASE_US = 20_000_000;
 
-    /** A discovery whose calls have no answer until a latch opens. */
-    private static ProxyFixture answeredFrom(CountDownLatch start) throws Exception {
+    /** Returns a fixture whose discovery sends its first heartbeat once the latch opens. */
+    private static ProxyFixture withHeartbeatAfter(CountDownLatch start) throws Exception {
         return new ProxyFixture(new ScriptedHttpServer((request, peer) -> {
-            peer.write(ProxyFixture.watchHead());
+            peer.write(ProxyFixture.watchResponseHead());
             ScriptedHttpServer.await(start);
             peer.write(ProxyFixture.chunk("\n"));
         }));
     }
 
     @Test
-    void aNodeIsNotReadyAndSendsNothingUntilDiscoveryHasSpoken() throws Exception {
+    void nodeIsNotReadyAndRejectsRequestsUntilDiscoveryResponds() throws Exception {
         CountDownLatch start = new CountDownLatch(1);
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = answeredFrom(start)) {
-            site.startUnconfirmed(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"));
-            assertEquals(503, site.ask(HttpMessages.UP).status());
-            HttpMessages.Message refusal = site.ask(HttpMessages.order("early", "5000m"));
-            assertEquals(503, refusal.status());
-            assertEquals("0.25", refusal.headers().get("retry-after"));
+                ProxyFixture fixture = withHeartbeatAfter(start)) {
+            fixture.startWithoutLease(ProxyFixture.list(1, true, "s0=" + server.endpoint() + "=Ready"));
+            assertEquals(503, fixture.ask(HttpMessages.READINESS_REQUEST).status());
+            HttpMessages.Message rejection = fixture.ask(HttpMessages.order("early", "5000m"));
+            assertEquals(503, rejection.status());
+            assertEquals("0.25", rejection.headers().get("retry-after"));
             start.countDown();
-            site.awaitLease();
-            assertEquals(200, site.ask(HttpMessages.UP).status());
-            assertEquals(200, site.ask(HttpMessages.order("late", "5000m")).status());
+            fixture.awaitLease();
+            assertEquals(200, fixture.ask(HttpMessages.READINESS_REQUEST).status());
+            assertEquals(200, fixture.ask(HttpMessages.order("late", "5000m")).status());
             assertEquals(1, server.requests.size());
         }
     }
 
     @Test
-    void onceItsLeaseIsOverANodeRefusesAndStaysReadyAndWhatIsOutIsAnswered() throws Exception {
+    void afterLeaseExpiryNewRequestsAreRejectedAndAttemptsInFlightComplete() throws Exception {
         CountDownLatch answered = new CountDownLatch(1);
         SteppedClock clock = new SteppedClock();
         try (ScriptedHttpServer server = ScriptedHttpServer.servingFrom(answered, "x");
-                ProxyFixture site = ProxyFixture.quiet()) {
-            site.clock = clock;
-            site.start(server);
-            Socket out = site.connect();
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.clock = clock;
+            fixture.start(server);
+            Socket out = fixture.connect();
             ProxyFixture.write(out, HttpMessages.order("out", "50000m"));
             ScriptedHttpServer.next(server.requests);
-            clock.advance(PAST_LEASE_US);
+            clock.advance(LONGER_THAN_LEASE_US);
             assertEquals(
-                    503, site.ask(HttpMessages.page("/api/p", "new", "5000m")).status());
-            assertEquals(200, site.ask(HttpMessages.UP).status());
+                    503,
+                    fixture.ask(HttpMessages.page("/api/p", "new", "5000m")).status());
+            assertEquals(200, fixture.ask(HttpMessages.READINESS_REQUEST).status());
             answered.countDown();
             assertEquals(200, HttpMessages.read(out.getInputStream()).status());
             assertTrue(server.requests.isEmpty());
-            ScriptedHttpServer.next(site.discovery.peers).write(ProxyFixture.chunk("\n"));
-            site.awaitLease();
+            ScriptedHttpServer.next(fixture.discovery.peers).write(ProxyFixture.chunk("\n"));
+            fixture.awaitLease();
             assertEquals(
-                    200, site.ask(HttpMessages.page("/api/p", "again", "5000m")).status());
+                    200,
+                    fixture.ask(HttpMessages.page("/api/p", "again", "5000m")).status());
         }
     }
 
     @Test
-    void aRetryIsNotSentOnceTheLeaseIsOver() throws Exception {
+    void retryIsNotSentAfterLeaseExpiry() throws Exception {
         CountDownLatch failed = new CountDownLatch(1);
         SteppedClock clock = new SteppedClock();
         ScriptedHttpServer.Script failing = (request, peer) -> {
             ScriptedHttpServer.await(failed);
-            peer.write(HttpMessages.answer("500 No", "", ""));
+            peer.write(HttpMessages.response("500 No", "", ""));
         };
         try (ScriptedHttpServer one = new ScriptedHttpServer(failing);
                 ScriptedHttpServer two = new ScriptedHttpServer(failing);
-                ProxyFixture site = ProxyFixture.quiet()) {
-            site.clock = clock;
-            site.start(one, two);
-            Socket client = site.connect();
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.clock = clock;
+            fixture.start(one, two);
+            Socket client = fixture.connect();
             ProxyFixture.write(client, HttpMessages.page("/api/p", "t", "50000m"));
             while (one.requests.isEmpty() && two.requests.isEmpty()) {
                 Thread.onSpinWait();
             }
-            clock.advance(PAST_LEASE_US);
+            clock.advance(LONGER_THAN_LEASE_US);
             failed.countDown();
             assertEquals(503, HttpMessages.read(client.getInputStream()).status());
             assertEquals(1, one.requests.size() + two.requests.size());
@@ -100,80 +102,80 @@
     }
 
     @Test
-    void whatAwaitsAConnectionAsTheLeaseEndsIsRefusedAndNotSentOnceItIsUp() throws Exception {
+    void requestThatAwaitsAConnectionAtLeaseExpiryIsRejectedAndNeverSent() throws Exception {
         SteppedClock clock = new SteppedClock();
         try (HangingListener hanging = new HangingListener();
-                ProxyFixture site = ProxyFixture.quiet()) {
-            site.clock = clock;
-            site.settings.connectTimeoutUs = 20_000_000;
-            site.startKnowing(ProxyFixture.list(1, true, "s0=" + hanging.endpoint() + "=Ready"));
-            Socket client = site.connect();
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.clock = clock;
+            fixture.settings.connectTimeoutUs = 20_000_000;
+            fixture.startWithCachedList(ProxyFixture.list(1, true, "s0=" + hanging.endpoint() + "=Ready"));
+            Socket client = fixture.connect();
             ProxyFixture.write(client, HttpMessages.order("t", "50000m"));
-            site.awaitCounts(counts -> counts.exchanges() == 1);
-            clock.advance(PAST_LEASE_US);
-            hanging.makeRoom();
+            fixture.awaitCounts(counts -> counts.exchanges() == 1);
+            clock.advance(LONGER_THAN_LEASE_US);
+            hanging.freeBacklog();
             try (Socket dialed = hanging.accept()) {
                 assertEquals(503, HttpMessages.read(client.getInputStream()).status());
-                site.closeClients();
-                site.loop.submit(site.node::close).get();
+                fixture.closeClients();
+                fixture.loop.submit(fixture.node::close).get();
                 assertEquals(-1, dialed.getInputStream().read());
             }
         }
     }
 
-    /** Takes nothing of the first message until it is told to go on, as with a full buffer. */
+    /** A channel that writes nothing until {@link #resume}, as if the send buffer of its socket were full. */
     private static final class FullChannel extends UpstreamChannel {
         private final CountDownLatch whenFull;
-        private volatile boolean resumed;
+        private volatile boolean isResumed;
 
         FullChannel(CountDownLatch whenFull) {
             this.whenFull = whenFull;
         }
 
         @Override
-        protected void writeOut(ChannelOutboundBuffer pending) throws Exception {
-            if (resumed) {
-                super.writeOut(pending);
+        protected void writeToSocket(ChannelOutboundBuffer pending) throws Exception {
+            if (isResumed) {
+                super.writeToSocket(pending);
             } else {
                 whenFull.countDown();
             }
         }
 
         void resume() {
-            resumed = true;
+            isResumed = true;
             eventLoop().execute(() -> unsafe().flush());
         }
     }
 
     @Test
-    void aRequestOfWhichNothingHasLeftIsNotSentToAServerThatBeginsToDrain() throws Exception {
+    void unsentRequestIsNotSentToAnEndpointThatBeginsToDrain() throws Exception {
         CountDownLatch full = new CountDownLatch(1);
         FullChannel[] first = new FullChannel[1];
-        try (ScriptedHttpServer drains = ScriptedHttpServer.serving("drains");
-                ScriptedHttpServer stays = ScriptedHttpServer.serving("stays");
-                ProxyFixture site = ProxyFixture.quiet()) {
-            site.serverChannels = () -> {
+        try (ScriptedHttpServer draining = ScriptedHttpServer.serving("drains");
+                ScriptedHttpServer ready = ScriptedHttpServer.serving("stays");
+                ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.upstreamChannels = () -> {
                 if (first[0] == null) {
                     first[0] = new FullChannel(full);
                     return first[0];
                 }
                 return new UpstreamChannel();
             };
-            site.start(drains);
-            Socket client = site.connect();
+            fixture.start(draining);
+            Socket client = fixture.connect();
             ProxyFixture.write(client, HttpMessages.order("t", "20000m"));
             full.await();
-            ScriptedHttpServer.next(site.discovery.peers)
+            ScriptedHttpServer.next(fixture.discovery.peers)
                     .write(ProxyFixture.chunk(ProxyFixture.list(
                                     2,
                                     false,
-                                    "s0=" + drains.endpoint() + "=Terminating",
-                                    "s1=" + stays.endpoint() + "=Ready")
+                                    "s0=" + draining.endpoint() + "=Terminating",
+                                    "s1=" + ready.endpoint() + "=Ready")
                             + "\n"));
             assertEquals("stays", HttpMessages.read(client.getInputStream()).body());
             first[0].resume();
-            ScriptedHttpServer.next(drains.ended);
-            assertTrue(drains.requests.isEmpty());
+            ScriptedHttpServer.next(draining.closedConnections);
+            assertTrue(draining.requests.isEmpty());
         }
     }
 }
--- a/src/test/java/loadbalancer/proxy/lifecycle/ProxyFixture.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/ProxyFixture.java
@@ -40,22 +40,22 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** A node on loopback sockets with the servers that its list names and a discovery that a test plays. */
+/** A node on loopback sockets, with scripted endpoints and a scripted discovery. */
 public final class ProxyFixture implements AutoCloseable {
-    private static final long PATIENCE_NANOS = 20_000_000_000L;
+    private static final long TIMEOUT_NS = 20_000_000_000L;
 
     public final LoadBalancerSettings settings = new LoadBalancerSettings();
     public final ScriptedHttpServer discovery;
     public final EventLoop loop = ProxyNode.newLoop();
-    public int sockets = 256;
-    public long connIdleUs = 60_000_000;
-    /** Connections are used again at once, so that tests can count them. */
-    public long restUs = 0;
-    /** The decision module; a test may put a faulty one in its place. */
-    public Function<LoadBalancerActions, LoadBalancer> module;
+    public int maxDescriptors = 256;
+    public long upstreamIdleTimeoutUs = 60_000_000;
+    /** Zero, so that connections are reused at once and tests can count them. */
+    public long connectionReuseDelayUs = 0;
+    /** Creates the decision module. Tests may replace it by one that fails. */
+    public Function<LoadBalancerActions, LoadBalancer> loadBalancers;
 
     public Clock clock = new SystemClock();
-    public ChannelFactory<UpstreamChannel> serverChannels = UpstreamChannel::new;
+    public ChannelFactory<UpstreamChannel> upstreamChannels = UpstreamChannel::new;
     public ChannelFactory<? extends SocketChannel> discoveryChannels = NioSocketChannel::new;
     public ChannelFactory<ClientListener> listeners = ClientListener::new;
     public ProxyNode node;
@@ -64,7 +64,7 @@
 
     public ProxyFixture(ScriptedHttpServer discovery) {
         this.discovery = discovery;
-        module = actions -> new ServiceQLoadBalancer(settings, 7, actions);
+        loadBalancers = actions -> new ServiceQLoadBalancer(settings, 7, actions);
         settings.zones.add("here");
         settings.classes.add(requestClass("page", Idempotency.IDEMPOTENT, DeduplicationScope.ALL));
         settings.classes.add(requestClass("photo", Idempotency.IDEMPOTENCY_KEY, DeduplicationScope.CELL));
@@ -77,21 +77,26 @@
         settings.endpointListPolled = true;
     }
 
-    private static RequestClass requestClass(String name, Idempotency repeat, DeduplicationScope group) {
-        return new RequestClass(name, 1_000_000, 0, 5_000_000, 1, 0, repeat, group, 1_200_000, false);
+    private static RequestClass requestClass(
+            String name, Idempotency idempotency, DeduplicationScope deduplicationScope) {
+        return new RequestClass(name, 1_000_000, 0, 5_000_000, 1, 0, idempotency, deduplicationScope, 1_200_000, false);
     }
 
-    /** A site whose discovery opens each watch with a heartbeat: the list that the node knows holds. */
-    public static ProxyFixture quiet() throws IOException {
-        return new ProxyFixture(new ScriptedHttpServer((request, peer) -> peer.write(watchHead() + chunk("\n"))));
+    /**
+     * Returns a fixture whose discovery sends a heartbeat on each watch, which grants a lease on the cached endpoint
+     * list.
+     */
+    public static ProxyFixture withHeartbeat() throws IOException {
+        return new ProxyFixture(
+                new ScriptedHttpServer((request, peer) -> peer.write(watchResponseHead() + chunk("\n"))));
     }
 
-    /** A site whose discovery opens a watch and says nothing on it. */
-    public static ProxyFixture silent() throws IOException {
-        return new ProxyFixture(new ScriptedHttpServer((request, peer) -> peer.write(watchHead())));
+    /** Returns a fixture whose discovery accepts each watch and sends nothing on it. */
+    public static ProxyFixture withSilentDiscovery() throws IOException {
+        return new ProxyFixture(new ScriptedHttpServer((request, peer) -> peer.write(watchResponseHead())));
     }
 
-    public static String watchHead() {
+    public static String watchResponseHead() {
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     }
 
@@ -99,65 +104,66 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    /** A list whose entries are id=endpoint=state. */
-    public static String list(int rev, boolean all, String... entries) {
+    /** Returns an endpoint list in JSON. Entries have the format {@code id=address=state}. */
+    public static String list(int version, boolean isComplete, String... entries) {
         StringBuilder targets = new StringBuilder();
         for (String entry : entries) {
-            String[] parts = entry.split("=", 3);
+            String[] fields = entry.split("=", 3);
             targets.append(targets.isEmpty() ? "" : ",")
                     .append("{\"uid\":\"")
-                    .append(parts[0])
+                    .append(fields[0])
                     .append("\",\"endpoint\":\"")
-                    .append(parts[1])
+                    .append(fields[1])
                     .append("\",\"az\":\"here\",\"pod_group\":0,\"state\":\"")
-                    .append(parts[2])
+                    .append(fields[2])
                     .append("\",\"capacity_hint\":1.0,\"boot_ms\":0}");
         }
-        return "{\"rev\":" + rev + ",\"all\":" + all + ",\"targets\":[" + targets + "]}";
+        return "{\"rev\":" + version + ",\"all\":" + isComplete + ",\"targets\":[" + targets + "]}";
     }
 
-    public ProxyConfiguration config(String known) throws Exception {
+    public ProxyConfiguration config(String cachedList) throws Exception {
         return new ProxyConfiguration(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 ProxyConfiguration.parseAddress("discovery", discovery.endpoint()),
                 7,
-                sockets,
-                connIdleUs,
-                new EndpointListDecoder(settings.zones).decode(new ObjectMapper().readTree(known)),
+                maxDescriptors,
+                upstreamIdleTimeoutUs,
+                new EndpointListDecoder(settings.zones).decode(new ObjectMapper().readTree(cachedList)),
                 settings);
     }
 
     public ProxyNodeDependencies dependencies() {
-        return new ProxyNodeDependencies(clock, restUs, module, serverChannels, discoveryChannels, listeners);
+        return new ProxyNodeDependencies(
+                clock, connectionReuseDelayUs, loadBalancers, upstreamChannels, discoveryChannels, listeners);
     }
 
-    /** Starts the node with the servers s0, s1, ... */
+    /** Starts the node with the endpoints s0, s1, ..., and waits for its lease. */
     public ProxyFixture start(ScriptedHttpServer... servers) throws Exception {
         String[] entries = new String[servers.length];
         for (int i = 0; i < servers.length; i++) {
             entries[i] = "s" + i + "=" + servers[i].endpoint() + "=Ready";
         }
-        return startKnowing(list(1, true, entries));
+        return startWithCachedList(list(1, true, entries));
     }
 
-    /** Starts the node with a list that discovery has still to confirm, and waits until it does. */
-    public ProxyFixture startKnowing(String known) throws Exception {
-        startUnconfirmed(known);
+    /** Starts the node with a cached endpoint list, and waits for its lease. */
+    public ProxyFixture startWithCachedList(String cachedList) throws Exception {
+        startWithoutLease(cachedList);
         awaitLease();
         return this;
     }
 
-    /** Waits until the node may send requests by its list. */
+    /** Waits until the node holds a lease on its endpoint list. */
     public void awaitLease() throws Exception {
-        long until = System.nanoTime() + PATIENCE_NANOS;
-        while (!loop.submit(node::mayRoute).get()) {
-            assertTrue(System.nanoTime() < until, "nothing vouches for the list");
+        long deadlineNs = System.nanoTime() + TIMEOUT_NS;
+        while (!loop.submit(node::isLeaseHeld).get()) {
+            assertTrue(System.nanoTime() < deadlineNs, "no lease on the endpoint list within " + TIMEOUT_NS + " ns");
         }
     }
 
-    /** The same without waiting. */
-    public ProxyFixture startUnconfirmed(String known) throws Exception {
-        node = new ProxyNode(config(known), loop, dependencies());
+    /** Starts the node with a cached endpoint list, and waits for the listener only. */
+    public ProxyFixture startWithoutLease(String cachedList) throws Exception {
+        node = new ProxyNode(config(cachedList), loop, dependencies());
         address = (InetSocketAddress) node.start().sync().getNow();
         return this;
     }
@@ -179,26 +185,28 @@
         }
     }
 
-    /** Waits until the node holds just what is wanted. */
-    public void awaitCounts(Predicate<ProxyNodeCounts> wanted) throws Exception {
-        long until = System.nanoTime() + PATIENCE_NANOS;
+    /** Waits until the counts of the node meet a condition. */
+    public void awaitCounts(Predicate<ProxyNodeCounts> condition) throws Exception {
+        long deadlineNs = System.nanoTime() + TIMEOUT_NS;
         ProxyNodeCounts counts;
         do {
             counts = loop.submit(node::counts).get();
-            assertTrue(System.nanoTime() < until, "still " + counts);
-        } while (!wanted.test(counts));
+            assertTrue(
+                    System.nanoTime() < deadlineNs,
+                    "condition not met within " + TIMEOUT_NS + " ns; last counts: " + counts);
+        } while (!condition.test(counts));
     }
 
-    /** Closes all clients, then the node, and waits until what each of them held is given back. */
-    public void assertNothingIsCountedForGood() throws Exception {
+    /** Closes all clients, then the node, and waits until all requests, connections and descriptors are released. */
+    public void assertAllResourcesReleased() throws Exception {
         closeClients();
         awaitCounts(counts -> counts.requests() == 0 && counts.exchanges() == 0 && counts.clients() == 0);
         node.close();
         awaitCounts(counts -> counts.descriptors() == 0);
     }
 
-    /** Waits until no connection is taken: the system closes the listener a moment after the loop has. */
-    public void awaitNoneTaken() {
+    /** Waits until connections are refused. The kernel closes the listener shortly after the event loop has. */
+    public void awaitConnectionsRefused() {
         assertTimeoutPreemptively(
                 Duration.ofSeconds(20),
                 () -> assertThrows(IOException.class, () -> {
@@ -209,6 +217,7 @@
                 }));
     }
 
+    /** Sends a request on a connection, and returns the response. */
     public static HttpMessages.Message ask(Socket client, String request) throws IOException {
         write(client, request);
         return HttpMessages.read(client.getInputStream());
@@ -218,13 +227,13 @@
         client.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** One request on a connection of its own. */
+    /** Sends a request on a new connection, and returns the response. */
     public HttpMessages.Message ask(String request) throws IOException {
         return ask(connect(), request);
     }
 
-    /** Returns once the node has read what came before: a later request has its answer. */
-    public void awaitRead() throws IOException {
+    /** Waits until the node has read all earlier input, by sending another request and reading its response. */
+    public void awaitPriorInputRead() throws IOException {
         assertEquals(404, ask(HttpMessages.page("/nothing", "later", "1m")).status());
     }
 
--- a/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
+++ b/src/test/java/loadbalancer/proxy/lifecycle/StartupWarmUpTest.java
@@ -18,69 +18,72 @@
 import loadbalancer.testsupport.HttpMessages;
 import loadbalancer.testsupport.ScriptedHttpServer;
 
-/** What a starting process does before it listens. */
+/** The start-up warm-up, and that its node leaves nothing open. */
 class StartupWarmUpTest {
 
     @Test
-    void requestsAreServedWithNoWordToDiscovery() throws Exception {
-        try (ProxyFixture site = ProxyFixture.quiet()) {
+    void requestsAreServedWithoutConnectingToDiscovery() throws Exception {
+        try (ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
             // In a warm JVM the requests follow so fast that connections awaiting reuse take all of 256 descriptors.
-            site.sockets = 1_024;
-            assertTrue(StartupWarmUp.play(site.config(ProxyFixture.list(1, true)), site.loop) > 0);
-            assertEquals(0, site.discovery.connections.get());
+            fixture.maxDescriptors = 1_024;
+            assertTrue(StartupWarmUp.run(fixture.config(ProxyFixture.list(1, true)), fixture.loop) > 0);
+            assertEquals(0, fixture.discovery.acceptedCount.get());
         }
     }
 
     @Test
-    void littleCpuDoesNotEndItBeforeItIsWarm() throws Exception {
-        try (ProxyFixture site = ProxyFixture.quiet()) {
-            // As on a part of a core: every turn of the loop takes some time more.
-            AtomicBoolean over = new AtomicBoolean();
-            site.loop.execute(new Runnable() {
+    void warmUpIsCompletedWithLittleCpu() throws Exception {
+        try (ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            // Simulates a fraction of a core: each iteration of the event loop takes 3 ms longer.
+            AtomicBoolean isOver = new AtomicBoolean();
+            fixture.loop.execute(new Runnable() {
                 @Override
                 public void run() {
                     LockSupport.parkNanos(3_000_000);
-                    if (!over.get()) {
-                        site.loop.schedule(this, 1, TimeUnit.NANOSECONDS);
+                    if (!isOver.get()) {
+                        fixture.loop.schedule(this, 1, TimeUnit.NANOSECONDS);
                     }
                 }
             });
-            long served = StartupWarmUp.play(site.config(ProxyFixture.list(1, true)), site.loop);
-            over.set(true);
-            assertEquals(StartupWarmUp.REQUESTS, served);
+            long served = StartupWarmUp.run(fixture.config(ProxyFixture.list(1, true)), fixture.loop);
+            isOver.set(true);
+            assertEquals(StartupWarmUp.MAX_REQUESTS, served);
         }
     }
 
-    /** A start took all nodes that were killed together 2.5 s, half of it for code that few requests use. */
+    /**
+     * Guards against a full warm-up in large fleets: nodes that were killed together took 2.5 s to start, half of it to
+     * warm up code that few requests use.
+     */
     @Test
-    void aNodeOfManyRehearsesForTheFewRequestsThatComeToIt() throws Exception {
-        try (ProxyFixture site = ProxyFixture.quiet()) {
-            site.settings.tenants.set(0, new Tenant("org", 1_400));
-            site.settings.instances = 4;
-            assertEquals(StartupWarmUp.REQUESTS, StartupWarmUp.requests(site.settings));
-            site.settings.instances = 14;
-            assertEquals(100, StartupWarmUp.play(site.config(ProxyFixture.list(1, true)), site.loop));
+    void nodeOfALargeFleetServesFewerWarmUpRequests() throws Exception {
+        try (ProxyFixture fixture = ProxyFixture.withHeartbeat()) {
+            fixture.settings.tenants.set(0, new Tenant("org", 1_400));
+            fixture.settings.instances = 4;
+            assertEquals(StartupWarmUp.MAX_REQUESTS, StartupWarmUp.requestCount(fixture.settings));
+            fixture.settings.instances = 14;
+            assertEquals(100, StartupWarmUp.run(fixture.config(ProxyFixture.list(1, true)), fixture.loop));
         }
     }
 
     @Test
-    void aResetOfItsOwnConnectionsEndsThemAndNothingMore() {
-        EmbeddedChannel channel = new EmbeddedChannel(new StartupWarmUp.Ending());
+    void resetOfAWarmUpConnectionOnlyClosesIt() {
+        EmbeddedChannel channel = new EmbeddedChannel(new StartupWarmUp.CloseOnExceptionHandler());
         channel.pipeline().fireExceptionCaught(new IOException("Connection reset"));
         channel.checkException();
         assertFalse(channel.isOpen());
     }
 
     @Test
-    void aNodeThatIsClosedLeavesNothingOpen() throws Exception {
+    void closedNodeLeavesNoConnectionOrListenerOpen() throws Exception {
         try (ScriptedHttpServer server = ScriptedHttpServer.serving("x");
-                ProxyFixture site = ProxyFixture.quiet().start(server)) {
-            Socket client = site.connect();
+                ProxyFixture fixture = ProxyFixture.withHeartbeat().start(server)) {
+            Socket client = fixture.connect();
             assertEquals(200, ProxyFixture.ask(client, HttpMessages.page("t")).status());
-            site.node.close();
+            fixture.node.close();
             assertEquals(-1, client.getInputStream().read());
-            ScriptedHttpServer.next(server.ended);
-            site.awaitNoneTaken();
+            ScriptedHttpServer.next(server.closedConnections);
+            fixture.awaitConnectionsRefused();
         }
     }
 }
